--- a/internal/core/demand.go
+++ b/internal/core/demand.go
@@ -55,8 +55,8 @@
 			c.addRunning(&l, h, t)
 		}
 	}
-	for _, s := range p.slices {
-		c.addWaiting(p, &l, s)
+	for _, id := range sorted(p.slices) { // reads of quotas are asked for in this order
+		c.addWaiting(p, &l, p.slices[id])
 	}
 	return l
 }
--- a/internal/core/hosts.go
+++ b/internal/core/hosts.go
@@ -193,9 +193,9 @@
 	// The machine caches the most recently used images only.
 	for {
 		total, oldest := 0.0, -1
-		for img, at := range h.images {
+		for _, img := range sorted(h.images) { // images used at the same moment go by number
 			total += c.imageGB[img]
-			if oldest < 0 || at < h.images[oldest] {
+			if oldest < 0 || h.images[img] < h.images[oldest] {
 				oldest = img
 			}
 		}
