--- a/internal/fake/digest_test.go
+++ b/internal/fake/digest_test.go
@@ -1,12 +1,15 @@
 package fake
 
 import (
+	"cmp"
 	"crypto/sha256"
-	"encoding/json"
 	"flag"
 	"fmt"
+	"io"
 	"os"
 	"path/filepath"
+	"reflect"
+	"slices"
 	"strings"
 	"sync"
 	"testing"
@@ -19,26 +22,134 @@
 
 var recordDigests = flag.Bool("record-digests", false, "write the digests of what the core does anew")
 
-// digestDays are the random days whose digests are recorded: among them are days with
-// services and cards, gangs, zones without a controller, restarts, outages and
-// cancellations.
-const digestDays = 12
+// The random days whose digests are recorded. TestTheRecordedDaysCoverWhatTheCoreDoes says
+// what must happen on them.
+const (
+	digestDays  = 24
+	digestFirst = 7000
+)
 
 const digestFile = "testdata/digests.txt"
 
+// effectTag names a kind of effect in a digest, whatever its Go type is called. What the
+// core logs and measures does not count and has no tag.
+func effectTag(t *testing.T, effect any) string {
+	switch e := effect.(type) {
+	case core.Note, core.Observed:
+		return ""
+	case core.Call:
+		return "call " + operationTag(t, e.Op)
+	case core.Reply:
+		return "user"
+	case core.BeatReply:
+		return "worker"
+	case core.Tell:
+		return "peer"
+	case core.Share:
+		return "share"
+	}
+	require.Failf(t, "unknown effect", "%T", effect)
+	return ""
+}
+
+// operationTag does the same for calls to the outside.
+func operationTag(t *testing.T, operation any) string {
+	switch operation.(type) {
+	case core.CommitOp:
+		return "commit"
+	case core.ReadOp:
+		return "read"
+	case core.ListOp:
+		return "list"
+	case core.FollowOp:
+		return "watch"
+	case core.HoldOp:
+		return "grant lease"
+	case core.RenewOp:
+		return "renew lease"
+	case core.CatalogOp:
+		return "catalog"
+	case core.HostsOp:
+		return "hosts"
+	case core.HireOp:
+		return "rent"
+	case core.ReturnOp:
+		return "return"
+	case core.OrdersOp:
+		return "commands"
+	case core.ShowOp:
+		return "show"
+	}
+	require.Failf(t, "unknown operation", "%T", operation)
+	return ""
+}
+
+// writeValue writes a value field by field, without the names of types and fields, so that
+// renaming them leaves a digest as it is.
+func writeValue(w io.Writer, v reflect.Value) {
+	switch v.Kind() {
+	case reflect.Pointer, reflect.Interface:
+		if v.IsNil() {
+			fmt.Fprint(w, "nil")
+			return
+		}
+		writeValue(w, v.Elem())
+	case reflect.Struct:
+		fmt.Fprint(w, "{")
+		for i := range v.NumField() {
+			writeValue(w, v.Field(i))
+			fmt.Fprint(w, ";")
+		}
+		fmt.Fprint(w, "}")
+	case reflect.Slice:
+		if v.Type().Elem().Kind() == reflect.Uint8 {
+			fmt.Fprintf(w, "%t%q", v.IsNil(), v.Bytes())
+			return
+		}
+		fmt.Fprint(w, "[")
+		for i := range v.Len() {
+			writeValue(w, v.Index(i))
+			fmt.Fprint(w, ",")
+		}
+		fmt.Fprint(w, "]")
+	case reflect.Map:
+		keys := v.MapKeys()
+		slices.SortFunc(keys, func(a, b reflect.Value) int { return cmp.Compare(a.String(), b.String()) })
+		fmt.Fprint(w, "(")
+		for _, k := range keys {
+			fmt.Fprintf(w, "%q=", k.String())
+			writeValue(w, v.MapIndex(k))
+			fmt.Fprint(w, ",")
+		}
+		fmt.Fprint(w, ")")
+	case reflect.String:
+		fmt.Fprintf(w, "%q", v.String())
+	case reflect.Bool:
+		fmt.Fprint(w, v.Bool())
+	case reflect.Float64:
+		fmt.Fprint(w, v.Float())
+	case reflect.Int, reflect.Int64:
+		fmt.Fprint(w, v.Int())
+	case reflect.Uint64:
+		fmt.Fprint(w, v.Uint())
+	default:
+		panic(fmt.Sprintf("no digest of a %v", v.Type()))
+	}
+}
+
 // digestOf plays a script and sums up all that the controllers' cores ask for, in order.
-// What they log does not count.
 func digestOf(t *testing.T, s Script) string {
+	t.Helper()
 	w := s.build()
 	sum := sha256.New()
 	w.OnEffect = func(n *Node, effect any) {
-		switch effect.(type) {
-		case core.Note, core.Observed:
+		tag := effectTag(t, effect)
+		if tag == "" {
 			return
 		}
-		text, err := json.Marshal(effect)
-		require.NoError(t, err)
-		fmt.Fprintf(sum, "%d %s %T %s\n", w.Now, n.Name, effect, text)
+		fmt.Fprintf(sum, "%d %s %s ", w.Now, n.Name, tag)
+		writeValue(sum, reflect.ValueOf(effect))
+		fmt.Fprintln(sum)
 	}
 	v := s.playIn(w)
 	assert.Empty(t, v.Broken, "rules")
@@ -57,10 +168,10 @@
 		for i := range lines {
 			t.Run(fmt.Sprint(i), func(t *testing.T) {
 				t.Parallel()
-				digest := digestOf(t, RandomDay(uint64(7000+i)))
+				digest := digestOf(t, RandomDay(uint64(digestFirst+i)))
 				lock.Lock()
 				defer lock.Unlock()
-				lines[i] = fmt.Sprintf("%d %s\n", 7000+i, digest)
+				lines[i] = fmt.Sprintf("%d %s\n", digestFirst+i, digest)
 			})
 		}
 	})
@@ -72,3 +183,55 @@
 	require.NoError(t, err)
 	assert.Equal(t, string(recorded), strings.Join(lines, ""))
 }
+
+// TestTheRecordedDaysCoverWhatTheCoreDoes counts what the recorded days ask of the core, so
+// that their digests notice a change in any of it.
+func TestTheRecordedDaysCoverWhatTheCoreDoes(t *testing.T) {
+	least := map[string]int{
+		"service": 20, "gang": 20, "GPU": 5, "cancellation": 20, "tasks that save": 20, "one zone": 20, "apart": 20,
+		"restart": 10, "restart-all": 3, "all-away": 3, "state-outage": 3, "state-outage-long": 3, "zone-cut": 3,
+		"node-cut": 3, "alone": 3, "answers-lost": 3, "recall": 3, "machine-deaf": 3,
+	}
+	counts := map[string]int{}
+	for i := range digestDays {
+		day := RandomDay(uint64(digestFirst + i))
+		for _, request := range day.Jobs {
+			for what, is := range map[string]bool{"service": request.Spec.Service, "gang": request.Spec.Gang, "GPU": request.Spec.Need.Cards > 0,
+				"cancellation": request.Cancel > 0, "tasks that save": request.Spec.Checkpoint > 0, "one zone": request.Spec.OneZone, "apart": request.Spec.Apart} {
+				if is {
+					counts[what]++
+				}
+			}
+		}
+		for _, strike := range day.Steps {
+			counts[strike.Trouble]++
+		}
+	}
+	for what, n := range least {
+		assert.GreaterOrEqual(t, counts[what], n, what)
+	}
+	// Handovers have no trouble of their own: an owner that lays a shard down deletes its key.
+	assert.GreaterOrEqual(t, handoversOn(RandomDay(digestFirst)), 1, "handovers on the first day")
+}
+
+// handoversOn plays a day and counts the deletions of shard keys that controllers ask for.
+func handoversOn(day Script) int {
+	w, handovers := day.build(), 0
+	w.OnEffect = func(_ *Node, effect any) {
+		call, ok := effect.(core.Call)
+		if !ok {
+			return
+		}
+		commit, ok := call.Op.(core.CommitOp)
+		if !ok {
+			return
+		}
+		for _, change := range commit.Txn.Apply {
+			if strings.HasPrefix(change.Key, "part/") && change.Value == nil {
+				handovers++
+			}
+		}
+	}
+	day.playIn(w)
+	return handovers
+}
--- /dev/null
+++ b/internal/fake/recorded_test.go
@@ -0,0 +1,119 @@
+package fake
+
+import (
+	"bytes"
+	"encoding/json"
+	"os"
+	"testing"
+	"time"
+
+	"github.com/stretchr/testify/assert"
+	"github.com/stretchr/testify/require"
+
+	"roadcleat/internal/core"
+)
+
+// recordedFile holds what the version of 2 December 2026 (b103dfb) wrote to the state
+// service and told operators on a recorded day. It is never written anew: state services
+// hold such values, and operators' programs read such JSON.
+const recordedFile = "testdata/recorded-b103dfb.json"
+
+// recorded is the content of recordedFile.
+type recorded struct {
+	Stored  map[string]json.RawMessage            // the state service's values by key
+	Status  map[string]json.RawMessage            // GET /status by controller
+	Explain map[string]map[string]json.RawMessage // GET /explain/{id} by controller and job
+}
+
+// recordedDay is the random day that the file was recorded on, and recordedAt when: in the
+// middle of its troubles.
+const recordedDay = 7001
+
+const recordedAt = 150 * time.Second
+
+func playRecordedDay(t *testing.T) recorded {
+	t.Helper()
+	day := RandomDay(recordedDay)
+	w := day.build()
+	jobs := day.submit(w)
+	v := Verdict{Struck: make([]bool, len(day.Steps)), Seen: map[Step]int{}}
+	day.arm(w, &v)
+	w.Run(recordedAt)
+	marshal := func(value any) json.RawMessage {
+		b, err := json.Marshal(value)
+		require.NoError(t, err)
+		return b
+	}
+	r := recorded{Stored: map[string]json.RawMessage{}, Status: map[string]json.RawMessage{}, Explain: map[string]map[string]json.RawMessage{}}
+	for key, row := range w.Store.rows {
+		r.Stored[key] = row.value
+	}
+	for _, n := range w.Nodes {
+		if !n.up {
+			continue
+		}
+		r.Status[n.Name] = marshal(n.Core.Status())
+		r.Explain[n.Name] = map[string]json.RawMessage{}
+		for _, job := range jobs {
+			if explanation, known := n.Core.Explain(job.Spec.ID); known {
+				r.Explain[n.Name][job.Spec.ID] = marshal(explanation)
+			}
+		}
+	}
+	return r
+}
+
+func readRecorded(t *testing.T) recorded {
+	t.Helper()
+	b, err := os.ReadFile(recordedFile)
+	require.NoError(t, err)
+	var r recorded
+	require.NoError(t, json.Unmarshal(b, &r))
+	return r
+}
+
+func TestValuesAndOperatorsJSONAreAsRecorded(t *testing.T) {
+	want, got := readRecorded(t), playRecordedDay(t)
+	assert.NotEmpty(t, want.Status)
+	compare := func(what string, want, got map[string]json.RawMessage) {
+		assert.Len(t, got, len(want), what)
+		for key, value := range want {
+			var compact bytes.Buffer
+			require.NoError(t, json.Compact(&compact, value))
+			assert.Equal(t, compact.String(), string(got[key]), "%s %s", what, key)
+		}
+	}
+	compare("stored", want.Stored, got.Stored)
+	compare("status", want.Status, got.Status)
+	for node, jobs := range want.Explain {
+		compare("explain at "+node, jobs, got.Explain[node])
+	}
+}
+
+func TestControllersTakeUpWhatAnEarlierVersionStored(t *testing.T) {
+	w := RandomDay(recordedDay).build()
+	for _, n := range w.Nodes {
+		n.Crash()
+	}
+	w.Store.ledger++
+	placed := 0
+	for key, value := range readRecorded(t).Stored {
+		w.Store.rows[key] = row{value: value, stamp: w.Store.ledger}
+		placed += core.PlacedIn(value)
+	}
+	require.Positive(t, placed, "tasks that had a machine")
+	for _, n := range w.Nodes {
+		n.Start()
+	}
+	w.Run(30 * time.Second)
+	seen := 0
+	for _, n := range w.Nodes {
+		for _, part := range n.Core.Status().Parts {
+			if part.Here {
+				assert.True(t, part.Loaded, "%s owns %s and has read all of it", n.Name, part.Zone)
+				seen += part.Jobs
+			}
+		}
+	}
+	assert.Positive(t, seen, "jobs known from what was stored")
+}
--- a/internal/metrics/metrics_test.go
+++ b/internal/metrics/metrics_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"net/http/httptest"
+	"os"
 	"strings"
 	"testing"
 
@@ -48,3 +49,32 @@
 	require.NoError(t, err)
 	assert.Empty(t, problems)
 }
+
+// recordedPage is the page that the version of 2 December 2026 (b103dfb) served for the
+// gauges, measurements and calls of TestThePageIsAsRecorded. It is never written anew:
+// operators' graphs and alerts use its names.
+const recordedPage = "testdata/page-b103dfb.txt"
+
+func TestThePageIsAsRecorded(t *testing.T) {
+	s := New()
+	s.Observe(core.Observed{What: core.Wait, Value: 3})
+	s.Observe(core.Observed{What: core.Fetch, Value: 7})
+	s.Observe(core.Observed{What: core.Batch, Value: 2})
+	s.Call(core.CommitOp{}, core.CommitResult{Outcome: core.OK})
+	s.Call(core.ReadOp{}, core.ReadResult{Outcome: core.Unknown})
+	s.Call(core.ListOp{}, core.ListResult{Outcome: core.NotSent})
+	s.Call(core.FollowOp{}, core.FollowResult{Outcome: core.Refused})
+	s.Call(core.HoldOp{}, core.HoldResult{Outcome: core.OK})
+	s.Call(core.RenewOp{}, core.RenewResult{Outcome: core.OK})
+	s.Call(core.CatalogOp{}, core.CatalogResult{Outcome: core.OK})
+	s.Call(core.HostsOp{}, core.HostsResult{Outcome: core.OK})
+	s.Call(core.HireOp{}, core.HireResult{Outcome: core.Refused})
+	s.Call(core.ReturnOp{}, core.ReturnResult{Outcome: core.OK})
+	s.Call(core.OrdersOp{}, core.WorkerResult{Outcome: core.OK})
+	s.Call(core.ShowOp{}, core.WorkerResult{Outcome: core.Unknown})
+	w := httptest.NewRecorder()
+	s.Handler(seen).ServeHTTP(w, httptest.NewRequest("GET", "/metrics", nil))
+	want, err := os.ReadFile(recordedPage)
+	require.NoError(t, err)
+	assert.Equal(t, string(want), w.Body.String())
+}
