--- a/cmd/roadcleat/operators.go
+++ b/cmd/roadcleat/operators.go
@@ -121,11 +121,11 @@
 		}
 	}
 	for _, q := range s.Queues {
-		see(q.WaitS, fmt.Sprintf("%s of %s in %s", q.Class, q.Team, q.Part), q.Why)
+		see(q.WaitSeconds, fmt.Sprintf("%s of %s in %s", q.Class, q.Team, q.Shard), q.Reason)
 	}
 	for _, v := range s.Services {
-		for _, w := range v.Why {
-			see(v.MissingS, fmt.Sprintf("service %s in %s", v.Job, w.Part), w.Why)
+		for _, w := range v.Reasons {
+			see(v.MissingSeconds, fmt.Sprintf("service %s in %s", v.Job, w.Shard), w.Reason)
 		}
 	}
 	if count == 0 {
@@ -153,14 +153,14 @@
 // printStatus prints tables: what needs a look first comes first.
 func printStatus(out io.Writer, s *core.Status, all bool) error {
 	w := tabwriter.NewWriter(out, 0, 4, 2, ' ', 0)
-	fmt.Fprintf(w, "%s in %s\thealthy: %t\tstore seen: %s\tcloud seen: %s\n", s.Label, s.Zone, s.Healthy, ago(s.Store.AgeS), ago(s.Cloud.AgeS))
+	fmt.Fprintf(w, "%s in %s\thealthy: %t\tstore seen: %s\tcloud seen: %s\n", s.Label, s.Zone, s.Healthy, ago(s.StateService.AgeSeconds), ago(s.Cloud.AgeSeconds))
 	for _, d := range s.Degraded {
-		fmt.Fprintf(w, "DEGRADED\t%s\tfor %.1fs\n", d.Mode, d.SinceS)
+		fmt.Fprintf(w, "DEGRADED\t%s\tfor %.1fs\n", d.Mode, d.SinceSeconds)
 	}
 	printQueues(w, s.Queues, all)
 	printServices(w, s.Services, all)
 	fmt.Fprintln(w, "\nPART\tOWNER\tTOKEN\tJOBS\tWAITING\tON MACHINES\tMACHINES")
-	for _, p := range s.Parts {
+	for _, p := range s.Shards {
 		var hosts []string
 		for _, h := range p.Hosts {
 			kind := ""
@@ -170,28 +170,28 @@
 			hosts = append(hosts, fmt.Sprintf("%d %s%s %s", h.Count, h.Type, kind, h.State))
 		}
 		jobs, waiting, running := "-", "-", "-"
-		if p.Here {
+		if p.OwnedHere {
 			jobs, waiting, running = fmt.Sprint(p.Jobs), fmt.Sprint(p.Waiting), fmt.Sprint(p.Running)
 		}
 		fmt.Fprintf(w, "%s\t%s\t%d\t%s\t%s\t%s\t%s\n", p.Zone, p.Owner, p.Token, jobs, waiting, running, strings.Join(hosts, ", "))
 	}
 	fmt.Fprintln(w, "\nTEAM\tCORES\tGUARANTEE\tLIMIT\tCARDS\tGUARANTEE\tLIMIT")
 	for _, t := range s.Teams {
-		fmt.Fprintf(w, "%s\t%g\t%s\t%s\t%g\t%s\t%s\n", t.Team, t.Cores, orNone(t.Guarantee), orNone(t.Limit), t.Cards, orNone(t.CardsGuarantee), orNone(t.CardsLimit))
+		fmt.Fprintf(w, "%s\t%g\t%s\t%s\t%g\t%s\t%s\n", t.Team, t.Cores, orNone(t.Guarantee), orNone(t.Limit), t.GPUs, orNone(t.GPUsGuarantee), orNone(t.GPUsLimit))
 	}
 	fmt.Fprintln(w, "\nCLASS (parts owned here)\tWAITING\tON MACHINES")
 	for _, c := range s.Classes {
 		fmt.Fprintf(w, "%s\t%d\t%d\n", c.Class, c.Waiting, c.Running)
 	}
-	if len(s.Doubtful) > 0 {
+	if len(s.SuspectJobs) > 0 {
 		fmt.Fprintln(w, "\nFAILS EVERYWHERE\tTEAM\tCLASS\tFAILURES\tNEXT TRY\tMACHINES")
 	}
-	for _, d := range s.Doubtful {
-		fmt.Fprintf(w, "%s\t%s\t%s\t%d\tin %.0fs\t%s\n", d.Job, d.Team, d.Class, d.Failures, d.NextS, strings.Join(d.Hosts, ", "))
+	for _, d := range s.SuspectJobs {
+		fmt.Fprintf(w, "%s\t%s\t%s\t%d\tin %.0fs\t%s\n", d.Job, d.Team, d.Class, d.Failures, d.NextTrialSeconds, strings.Join(d.Hosts, ", "))
 	}
 	fmt.Fprintln(w, "\nOTHER CONTROLLER\tHEARD\tREACHES THE STATE SERVICE")
 	for _, p := range s.Peers {
-		fmt.Fprintf(w, "%s\t%s\t%t\n", p.Label, ago(p.AgeS), p.StoreOK)
+		fmt.Fprintf(w, "%s\t%s\t%t\n", p.Label, ago(p.AgeSeconds), p.StateServiceOK)
 	}
 	return w.Flush()
 }
@@ -209,10 +209,10 @@
 			continue
 		}
 		parts[k]++
-		out[k].Add(q.Tally)
+		out[k].Add(q.TaskCounts)
 	}
 	for k, n := range parts {
-		out[k].Part += fmt.Sprintf(" (+%d)", n)
+		out[k].Shard += fmt.Sprintf(" (+%d)", n)
 	}
 	return out
 }
@@ -227,7 +227,7 @@
 	}
 	fmt.Fprintln(w, "\nQUEUE\tTEAM\tPART\tLONGEST WAIT\tWAITING\tFETCHING\tSTARTING\tUP\tWAITS LONGEST\tWHY")
 	for _, q := range queues {
-		fmt.Fprintf(w, "%s\t%s\t%s\t%.0fs\t%d\t%d\t%d\t%d\t%s\t%s\n", q.Class, q.Team, q.Part, q.WaitS, q.Waiting, q.Fetching, q.Starting, q.Up, q.Job, q.Why)
+		fmt.Fprintf(w, "%s\t%s\t%s\t%.0fs\t%d\t%d\t%d\t%d\t%s\t%s\n", q.Class, q.Team, q.Shard, q.WaitSeconds, q.Waiting, q.Fetching, q.Starting, q.Running, q.Job, q.Reason)
 	}
 }
 
@@ -235,9 +235,9 @@
 func printServices(w io.Writer, services []core.ServiceStatus, all bool) {
 	whole, replicas, head := 0, 0, false
 	for _, s := range services {
-		if s.Up == s.Wanted {
+		if s.Running == s.Wanted {
 			whole++
-			replicas += s.Up
+			replicas += s.Running
 			if !all {
 				continue
 			}
@@ -246,49 +246,49 @@
 			head = true
 			fmt.Fprintln(w, "\nSERVICE\tCLASS\tTEAM\tWANTED\tUP\tSTARTING\tFETCHING\tWAITING\tUNKNOWN\tMISSING FOR\tWHY")
 		}
-		fmt.Fprintf(w, "%s\t%s\t%s\t%d\t%d\t%d\t%d\t%d\t%d\t%.0fs\t%s\n", s.Job, s.Class, s.Team, s.Wanted, s.Up, s.Starting, s.Fetching, s.Waiting, s.Unknown, s.MissingS, whys(s.Why))
+		fmt.Fprintf(w, "%s\t%s\t%s\t%d\t%d\t%d\t%d\t%d\t%d\t%.0fs\t%s\n", s.Job, s.Class, s.Team, s.Wanted, s.Running, s.Starting, s.Fetching, s.Waiting, s.Unaccounted, s.MissingSeconds, whys(s.Reasons))
 	}
 	if len(services) > 0 {
 		fmt.Fprintf(w, "\n%d of %d services whole, with %d replicas\n", whole, len(services), replicas)
 	}
 }
 
-func whys(list []core.PartWhy) string {
+func whys(list []core.ShardReason) string {
 	var out []string
 	for _, p := range list {
 		text := p.Detail
 		if text == "" {
-			text = p.Why.String()
+			text = p.Reason.String()
 		}
-		out = append(out, p.Part+": "+text)
+		out = append(out, p.Shard+": "+text)
 	}
 	return strings.Join(out, "; ")
 }
 
 func printExplanation(out io.Writer, e *core.Explanation) error {
 	w := tabwriter.NewWriter(out, 0, 4, 2, ' ', 0)
-	fmt.Fprintf(w, "%s: %s\n", e.Job, e.Standing)
+	fmt.Fprintf(w, "%s: %s\n", e.Job, e.State)
 	if s := e.Service; s != nil {
-		fmt.Fprintf(w, "service\twanted %d, up %d, starting %d, fetching %d, waiting %d, unknown %d\n", s.Wanted, s.Up, s.Starting, s.Fetching, s.Waiting, s.Unknown)
-		if s.MissingS > 0 {
-			fmt.Fprintf(w, "\treplicas missing for %.0fs\n", s.MissingS)
+		fmt.Fprintf(w, "service\twanted %d, up %d, starting %d, fetching %d, waiting %d, unknown %d\n", s.Wanted, s.Running, s.Starting, s.Fetching, s.Waiting, s.Unaccounted)
+		if s.MissingSeconds > 0 {
+			fmt.Fprintf(w, "\treplicas missing for %.0fs\n", s.MissingSeconds)
 		}
 	}
-	for _, p := range e.Parts {
+	for _, p := range e.Shards {
 		switch {
-		case p.Here:
-			fmt.Fprintf(w, "%s\t%d done, %d waiting, %d on machines, %d of them running\n", p.Part, p.Done, p.Waiting, len(p.Running), p.Up)
+		case p.OwnedHere:
+			fmt.Fprintf(w, "%s\t%d done, %d waiting, %d on machines, %d of them running\n", p.Shard, p.Done, p.Waiting, len(p.Running), p.RunningCount)
 		case p.Owner == "":
-			fmt.Fprintf(w, "%s\thas no owner\n", p.Part)
+			fmt.Fprintf(w, "%s\thas no owner\n", p.Shard)
 			continue
 		default:
-			fmt.Fprintf(w, "%s\tis looked after by %s: ask there for more\n", p.Part, p.Owner)
-			if p.Done+p.Waiting+p.Up > 0 {
-				fmt.Fprintf(w, "\tit said: %d done, %d running\n", p.Done, p.Up)
+			fmt.Fprintf(w, "%s\tis looked after by %s: ask there for more\n", p.Shard, p.Owner)
+			if p.Done+p.Waiting+p.RunningCount > 0 {
+				fmt.Fprintf(w, "\tit said: %d done, %d running\n", p.Done, p.RunningCount)
 			}
 		}
-		if p.Why != "" {
-			fmt.Fprintf(w, "\twaiting: %s\n", p.Why)
+		if p.Text != "" {
+			fmt.Fprintf(w, "\twaiting: %s\n", p.Text)
 		}
 		for _, r := range p.Running {
 			fmt.Fprintf(w, "\ttask %s\n", r)
--- a/cmd/roadcleat/root.go
+++ b/cmd/roadcleat/root.go
@@ -98,7 +98,7 @@
 	d := s.Deployment
 	if _, err := fmt.Fprintf(w, "controller %s in %s, %d others, %d zones, %d teams\nstate service %s: %g requests, %g changes a second\ncloud %s: %g calls a second\nworkers: report %gs, lease %gs, cancel %gs\n",
 		s.Label, s.Location, len(s.Others), len(d.Zones), len(d.Teams), s.External.State, d.State.RPS, d.State.WriteRPS,
-		s.External.Cloud, d.Cloud.RPS, d.Workers.ReportS, d.Workers.LeaseS, d.Workers.CancelS); err != nil {
+		s.External.Cloud, d.Cloud.RPS, d.Workers.HeartbeatSeconds, d.Workers.LeaseSeconds, d.Workers.CancelSeconds); err != nil {
 		return err
 	}
 	for _, warning := range s.Warnings(o) {
@@ -106,8 +106,8 @@
 			return err
 		}
 	}
-	inForce := o.InForce(&d.Workers)
-	for _, k := range config.Knobs() {
+	inForce := o.Effective(&d.Workers)
+	for _, k := range config.OperatorSettings() {
 		note := ""
 		if v := k.Value(inForce); v != k.Value(o) {
 			note = " (" + v + " in force)"
--- a/cmd/roadcleat/root_test.go
+++ b/cmd/roadcleat/root_test.go
@@ -119,8 +119,8 @@
 	assert.Zero(t, code)
 	var s core.Status
 	require.NoError(t, json.Unmarshal([]byte(out), &s))
-	assert.Equal(t, core.AtLimit, s.Queues[0].Why)
-	assert.Equal(t, 5, s.Services[0].Up)
+	assert.Equal(t, core.ReasonAtLimit, s.Queues[0].Reason)
+	assert.Equal(t, 5, s.Services[0].Running)
 }
 
 func TestStatusEndsWithThreeWhenSomethingHasWaitedTooLong(t *testing.T) {
--- a/cmd/search/root.go
+++ b/cmd/search/root.go
@@ -150,13 +150,13 @@
 		fmt.Fprintln(out, "broken:", b)
 	}
 	struck := 0
-	for _, ok := range v.Struck {
+	for _, ok := range v.Injected {
 		if ok {
 			struck++
 		}
 	}
 	fmt.Fprintf(out, "%d of %d troubles struck; %d starts, %d of them after a confirmed cancellation; ended at %v\n",
-		struck, len(v.Struck), v.Starts, v.AfterCancel, v.Ended.Round(time.Millisecond))
+		struck, len(v.Injected), v.Starts, v.AfterCancel, v.Ended.Round(time.Millisecond))
 	if len(v.Broken) > 0 {
 		return errBroken
 	}
--- a/cmd/search/search.go
+++ b/cmd/search/search.go
@@ -59,7 +59,7 @@
 	}
 	c.played++
 	t.starts += r.verdict.Starts
-	if slices.Contains(r.verdict.Struck, false) {
+	if slices.Contains(r.verdict.Injected, false) {
 		t.missed = append(t.missed, r.day.name)
 	} else {
 		c.covered++
--- a/cmd/search/search_test.go
+++ b/cmd/search/search_test.go
@@ -59,9 +59,9 @@
 	s := &search{workers: 2, shrinkDays: 500, shrinkMost: 1, dir: t.TempDir(), verbose: true}
 	// Stands for a fault that only freezes bring about.
 	s.play = func(x fake.Script) (v fake.Verdict) {
-		v.Struck = []bool{true, len(x.Steps) < 2 || x.Steps[1].Trouble != "cancel"}
+		v.Injected = []bool{true, len(x.Steps) < 2 || x.Steps[1].Fault != "cancel"}
 		for _, step := range x.Steps {
-			if step.Trouble == "freeze" && step.Step == fake.Place && step.Phase == fake.During {
+			if step.Fault == "freeze" && step.Step == fake.Place && step.Phase == fake.During {
 				v.Broken = []string{"12s quota: red uses 41 cores"}
 			}
 		}
--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -17,35 +17,35 @@
 // New makes a client that keeps at most so many idle connections.
 func New(idle int) *Client { return &Client{httpc.New("", 1, idle)} }
 
-const timeout = 3 * time.Second
+const callTimeout = 3 * time.Second
 
-// Orders sends orders to a worker.
-func (c *Client) Orders(ctx context.Context, op core.OrdersOp) core.WorkerResult {
-	return c.ask(ctx, http.MethodPost, "http://"+op.Addr+"/orders", wire.EncodeOrders(op))
+// SendCommands sends orders to a worker.
+func (c *Client) SendCommands(ctx context.Context, op core.SendCommands) core.WorkerResult {
+	return c.request(ctx, http.MethodPost, "http://"+op.Address+"/orders", wire.EncodeCommands(op))
 }
 
-// Show asks a worker for its report.
-func (c *Client) Show(ctx context.Context, addr string) core.WorkerResult {
-	return c.ask(ctx, http.MethodGet, "http://"+addr+"/show", nil)
+// ReadStatus asks a worker for its report.
+func (c *Client) ReadStatus(ctx context.Context, addr string) core.WorkerResult {
+	return c.request(ctx, http.MethodGet, "http://"+addr+"/show", nil)
 }
 
-func (c *Client) ask(ctx context.Context, method, url string, body []byte) core.WorkerResult {
-	r := c.http.Do(ctx, timeout, method, url, body)
+func (c *Client) request(ctx context.Context, method, url string, body []byte) core.WorkerResult {
+	r := c.http.Do(ctx, callTimeout, method, url, body)
 	switch {
 	case r.NotSent:
-		return core.WorkerResult{Outcome: core.NotSent}
+		return core.WorkerResult{Outcome: core.OutcomeNotSent}
 	case r.Err != nil:
-		return core.WorkerResult{Outcome: core.Unknown}
+		return core.WorkerResult{Outcome: core.OutcomeUnknown}
 	}
-	rep, err := wire.DecodeReport(r.Body)
+	status, err := wire.DecodeWorkerStatus(r.Body)
 	if err != nil {
-		rep = nil
+		status = nil
 	}
 	switch r.Status {
 	case 200:
-		return core.WorkerResult{Outcome: core.OK, Report: rep}
+		return core.WorkerResult{Outcome: core.OutcomeOK, Status: status}
 	case 400, 409:
-		return core.WorkerResult{Outcome: core.Refused, Report: rep}
+		return core.WorkerResult{Outcome: core.OutcomeRefused, Status: status}
 	}
-	return core.WorkerResult{Outcome: core.Unknown}
+	return core.WorkerResult{Outcome: core.OutcomeUnknown}
 }
--- a/internal/api/api.go
+++ b/internal/api/api.go
@@ -21,32 +21,32 @@
 
 // Server answers requests with the help of a runtime.
 type Server struct {
-	rt   *runtime.Runtime
-	seen *metrics.Set
-	log  *slog.Logger
-	open *limited
+	rt        *runtime.Runtime
+	collector *metrics.Set
+	log       *slog.Logger
+	listener  *limitedListener
 }
 
 // New makes a server.
 func New(rt *runtime.Runtime, seen *metrics.Set, log *slog.Logger) *Server {
-	return &Server{rt: rt, seen: seen, log: log}
+	return &Server{rt: rt, collector: seen, log: log}
 }
 
 // userWait is how long a user's request may take: less than its sender waits.
 const (
-	submitWait = 4500 * time.Millisecond
-	pollWait   = 1800 * time.Millisecond
-	beatWait   = 3500 * time.Millisecond
+	submitTimeout    = 4500 * time.Millisecond
+	queryTimeout     = 1800 * time.Millisecond
+	heartbeatTimeout = 3500 * time.Millisecond
 )
 
 // Handler routes the protocol's paths.
 func (s *Server) Handler() http.Handler {
 	r := chi.NewRouter()
 	r.Post("/v2/runs", s.submit)
-	r.Get("/v2/runs/{id}", s.poll)
-	r.Post("/v2/runs/{id}/withdraw", s.withdraw)
+	r.Get("/v2/runs/{id}", s.query)
+	r.Post("/v2/runs/{id}/withdraw", s.cancel)
 	r.Get("/healthz", s.health)
-	r.Post("/agent/beat", s.beat)
+	r.Post("/agent/beat", s.heartbeat)
 	r.Get("/status", s.status)
 	r.Get("/explain/{id}", s.explain)
 	r.Get("/metrics", s.metrics)
@@ -58,26 +58,26 @@
 // report interval is closed: a cut may have left it half open, and hundreds of
 // those would leave no room when the cut ends.
 func (s *Server) Serve(ctx context.Context, ln net.Listener, conns int, report time.Duration) error {
-	s.open = &limited{Listener: ln, slots: make(chan struct{}, conns), refused: s.rt.Refused}
+	s.listener = &limitedListener{Listener: ln, slots: make(chan struct{}, conns), onRefused: s.rt.RecordRejection}
 	srv := &http.Server{Handler: s.Handler(), ReadHeaderTimeout: 10 * time.Second, ReadTimeout: 20 * time.Second,
 		IdleTimeout: max(5*report, 20*time.Second), MaxHeaderBytes: 16 << 10, ErrorLog: slog.NewLogLogger(s.log.Handler(), slog.LevelDebug)}
 	stop := context.AfterFunc(ctx, func() { srv.Close() })
 	defer stop()
-	if err := srv.Serve(s.open); err != http.ErrServerClosed {
+	if err := srv.Serve(s.listener); err != http.ErrServerClosed {
 		return err
 	}
 	return nil
 }
 
-// limited closes connections beyond a number at once, so that the load
+// limitedListener closes connections beyond a number at once, so that the load
 // balancer turns to another controller.
-type limited struct {
+type limitedListener struct {
 	net.Listener
-	slots   chan struct{}
-	refused func() // told of each connection that finds no slot
+	slots     chan struct{}
+	onRefused func() // told of each connection that finds no slot
 }
 
-func (l *limited) Accept() (net.Conn, error) {
+func (l *limitedListener) Accept() (net.Conn, error) {
 	for {
 		c, err := l.Listener.Accept()
 		if err != nil {
@@ -87,16 +87,16 @@
 		case l.slots <- struct{}{}:
 			return &limitedConn{Conn: c, slots: l.slots}, nil
 		default:
-			l.refused()
+			l.onRefused()
 			c.Close()
 		}
 	}
 }
 
-// tight says whether workers should not keep their connections: one controller may
+// nearLimit says whether workers should not keep their connections: one controller may
 // have to hear more workers than it has sockets, and users and health checks need
 // theirs whatever the workers do.
-func (l *limited) tight() bool { return l != nil && len(l.slots) > cap(l.slots)*2/3 }
+func (l *limitedListener) nearLimit() bool { return l != nil && len(l.slots) > cap(l.slots)*2/3 }
 
 type limitedConn struct {
 	net.Conn
@@ -124,38 +124,38 @@
 	if !ok {
 		return
 	}
-	spec, err := wire.DecodeRun(b)
-	ev := core.Submit{Spec: spec}
+	spec, err := wire.DecodeSubmission(b)
+	ev := core.JobSubmission{Spec: spec}
 	if err != nil {
-		ev.Bad = err.Error()
+		ev.Malformed = err.Error()
 	}
-	s.user(w, r, submitWait, ev)
+	s.user(w, r, submitTimeout, ev)
 }
 
-func (s *Server) poll(w http.ResponseWriter, r *http.Request) {
+func (s *Server) query(w http.ResponseWriter, r *http.Request) {
 	id := chi.URLParam(r, "id")
-	if !wire.ValidRef(id) {
+	if !wire.ValidJobID(id) {
 		http.Error(w, "no such job", http.StatusNotFound)
 		return
 	}
-	s.user(w, r, pollWait, core.Poll{ID: id})
+	s.user(w, r, queryTimeout, core.JobQuery{ID: id})
 }
 
-func (s *Server) withdraw(w http.ResponseWriter, r *http.Request) {
+func (s *Server) cancel(w http.ResponseWriter, r *http.Request) {
 	id := chi.URLParam(r, "id")
-	if !wire.ValidRef(id) {
+	if !wire.ValidJobID(id) {
 		http.Error(w, "no such job", http.StatusNotFound)
 		return
 	}
-	s.user(w, r, submitWait, core.Withdraw{ID: id})
+	s.user(w, r, submitTimeout, core.JobCancellation{ID: id})
 }
 
 // user hands a user's request to the core and writes its answer.
 func (s *Server) user(w http.ResponseWriter, r *http.Request, wait time.Duration, ev any) {
 	ctx, cancel := context.WithTimeout(r.Context(), wait)
 	defer cancel()
-	v, err := s.rt.Do(ctx, ev)
-	rep, ok := v.(core.Reply)
+	v, err := s.rt.Submit(ctx, ev)
+	rep, ok := v.(core.UserReply)
 	if err != nil || !ok {
 		w.Header().Set("Retry-After", "1")
 		http.Error(w, "busy", http.StatusServiceUnavailable)
@@ -164,13 +164,13 @@
 	if rep.Status == http.StatusOK || rep.Status == http.StatusCreated {
 		w.Header().Set("Content-Type", "application/json")
 		w.WriteHeader(rep.Status)
-		s.write(w, wire.EncodeRun(rep.Run))
+		s.write(w, wire.EncodeJobStatus(rep.Job))
 		return
 	}
 	if rep.RetryAfter > 0 {
 		w.Header().Set("Retry-After", strconv.Itoa(rep.RetryAfter))
 	}
-	http.Error(w, rep.Why, rep.Status)
+	http.Error(w, rep.Text, rep.Status)
 }
 
 func (s *Server) write(w io.Writer, b []byte) {
@@ -183,41 +183,41 @@
 	ctx, cancel := context.WithTimeout(r.Context(), 800*time.Millisecond)
 	defer cancel()
 	well := make(chan bool, 1)
-	if s.rt.Ask(ctx, func(c *core.Core) { well <- c.Healthy() }) != nil || !<-well {
+	if s.rt.Inspect(ctx, func(c *core.Core) { well <- c.Healthy() }) != nil || !<-well {
 		http.Error(w, "not now", http.StatusServiceUnavailable)
 		return
 	}
 	s.write(w, []byte("ok\n"))
 }
 
-func (s *Server) beat(w http.ResponseWriter, r *http.Request) {
+func (s *Server) heartbeat(w http.ResponseWriter, r *http.Request) {
 	b, ok := body(w, r)
 	if !ok {
 		return
 	}
-	rep, err := wire.DecodeReport(b)
+	status, err := wire.DecodeWorkerStatus(b)
 	if err != nil {
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return
 	}
-	ctx, cancel := context.WithTimeout(r.Context(), beatWait)
+	ctx, cancel := context.WithTimeout(r.Context(), heartbeatTimeout)
 	defer cancel()
-	v, err := s.rt.Do(ctx, core.Beat{Report: *rep})
-	ans, ok := v.(core.BeatReply)
+	v, err := s.rt.Submit(ctx, core.Heartbeat{Status: *status})
+	ans, ok := v.(core.HeartbeatReply)
 	if err != nil || !ok {
 		http.Error(w, "busy", http.StatusServiceUnavailable)
 		return
 	}
-	if s.open.tight() {
+	if s.listener.nearLimit() {
 		w.Header().Set("Connection", "close")
 	}
 	w.Header().Set("Content-Type", "application/json")
 	switch ans.Status {
 	case http.StatusOK:
-		s.write(w, wire.EncodeBeatReply(ans.Token, ans.Orders))
+		s.write(w, wire.EncodeHeartbeatReply(ans.Token, ans.Commands))
 	case http.StatusMisdirectedRequest:
 		w.WriteHeader(ans.Status)
-		s.write(w, wire.EncodeForeman(ans.Foreman))
+		s.write(w, wire.EncodeRedirect(ans.Owner))
 	default:
 		w.WriteHeader(ans.Status)
 	}
--- a/internal/api/operators.go
+++ b/internal/api/operators.go
@@ -11,14 +11,14 @@
 	"roadcleat/internal/core"
 )
 
-// askWait is how long an operator's question may wait for the owner goroutine.
-const askWait = 2 * time.Second
+// operatorTimeout is how long an operator's question may wait for the owner goroutine.
+const operatorTimeout = 2 * time.Second
 
 // ask runs f on the owner goroutine, or answers that this is not possible now.
 func (s *Server) ask(w http.ResponseWriter, r *http.Request, f func(*core.Core)) bool {
-	ctx, cancel := context.WithTimeout(r.Context(), askWait)
+	ctx, cancel := context.WithTimeout(r.Context(), operatorTimeout)
 	defer cancel()
-	if err := s.rt.Ask(ctx, f); err != nil {
+	if err := s.rt.Inspect(ctx, f); err != nil {
 		w.Header().Set("Retry-After", "1")
 		http.Error(w, "busy", http.StatusServiceUnavailable)
 		return false
@@ -63,6 +63,6 @@
 func (s *Server) metrics(w http.ResponseWriter, r *http.Request) {
 	answer := make(chan core.Gauges, 1)
 	if s.ask(w, r, func(c *core.Core) { answer <- c.Gauges() }) {
-		s.seen.Handler(<-answer).ServeHTTP(w, r)
+		s.collector.Handler(<-answer).ServeHTTP(w, r)
 	}
 }
--- a/internal/api/submissions_test.go
+++ b/internal/api/submissions_test.go
@@ -39,8 +39,8 @@
 	defer srv.Close()
 	addr := strings.TrimPrefix(srv.URL, "http://")
 	log := slog.New(slog.NewTextHandler(io.Discard, nil))
-	rt := runtime.New(core.New(core.Config{Label: "n0", Zone: "a", Zones: []string{"a"}, TxnOps: 12, ValueBytes: 4096,
-		Teams: []core.Team{{Name: "t", Limit: core.Amount{Cores: 8}}}}),
+	rt := runtime.New(core.New(core.Config{Label: "n0", Zone: "a", Zones: []string{"a"}, MaxTxnOps: 12, MaxValueBytes: 4096,
+		Teams: []core.Team{{Name: "t", Limit: core.Resources{Cores: 8}}}}),
 		state.New(addr, 1000, 500, 12, 1), cloud.New(addr, 50, 1), agent.New(4), runtime.Bounds{WorkerCalls: 4}, nil, metrics.New(), log)
 	go rt.Run(t.Context())
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
--- a/internal/cloud/cloud.go
+++ b/internal/cloud/cloud.go
@@ -17,33 +17,33 @@
 // Client calls the cloud within this controller's share of its budget. Returns
 // and hires may use all of it; listings leave some.
 type Client struct {
-	http   *httpc.Client
-	tokens *rate.Limiter
-	calls  float64
+	http           *httpc.Client
+	tokens         *rate.Limiter
+	callsPerSecond float64
 }
 
 // New makes a client of a cloud that takes so many calls a second from all
 // controllers together. It starts with the share given.
 func New(addr string, calls, share float64) *Client {
-	c := &Client{http: httpc.New(addr, 6, 6), tokens: rate.NewLimiter(0, 1), calls: calls}
+	c := &Client{http: httpc.New(addr, 6, 6), tokens: rate.NewLimiter(0, 1), callsPerSecond: calls}
 	c.Share(share)
 	return c
 }
 
 // Share sets this controller's share of the calls.
 func (c *Client) Share(share float64) {
-	calls := c.calls * share
+	calls := c.callsPerSecond * share
 	c.tokens.SetLimit(rate.Limit(calls))
 	c.tokens.SetBurst(max(int(2*calls), 1))
 }
 
-const timeout = 4 * time.Second
+const callTimeout = 4 * time.Second
 
-// admitWait is how long a call may wait for its token.
-const admitWait = 3 * time.Second
+// tokenTimeout is how long a call may wait for its token.
+const tokenTimeout = 3 * time.Second
 
 func (c *Client) admit(ctx context.Context) bool {
-	ctx, cancel := context.WithTimeout(ctx, admitWait)
+	ctx, cancel := context.WithTimeout(ctx, tokenTimeout)
 	defer cancel()
 	return c.tokens.Wait(ctx) == nil
 }
@@ -51,20 +51,20 @@
 // A page of a listing is asked for when it leaves half a token to the next hire or
 // return, which it looks for so often. A listing that finds none for so long is given up.
 const (
-	spareTokens = 1.5
-	spareLook   = 100 * time.Millisecond
-	spareWait   = 20 * time.Second
+	spareTokens       = 1.5
+	sparePollInterval = 100 * time.Millisecond
+	spareTimeout      = 20 * time.Second
 )
 
 // admitPage waits for a token that nothing more urgent needs.
 func (c *Client) admitPage(ctx context.Context) bool {
-	ctx, cancel := context.WithTimeout(ctx, spareWait)
+	ctx, cancel := context.WithTimeout(ctx, spareTimeout)
 	defer cancel()
 	for c.tokens.Burst() > 1 && c.tokens.Tokens() < spareTokens {
 		select {
 		case <-ctx.Done():
 			return false
-		case <-time.After(spareLook):
+		case <-time.After(sparePollInterval):
 		}
 	}
 	return c.tokens.Wait(ctx) == nil
@@ -73,17 +73,17 @@
 // Catalog reads the machine types.
 func (c *Client) Catalog(ctx context.Context) core.CatalogResult {
 	if !c.admit(ctx) {
-		return core.CatalogResult{Outcome: core.NotSent}
+		return core.CatalogResult{Outcome: core.OutcomeNotSent}
 	}
-	r := c.http.Do(ctx, timeout, http.MethodGet, "/catalog", nil)
+	r := c.http.Do(ctx, callTimeout, http.MethodGet, "/catalog", nil)
 	if r.Err != nil || r.Status != 200 {
-		return core.CatalogResult{Outcome: core.Unknown}
+		return core.CatalogResult{Outcome: core.OutcomeUnknown}
 	}
 	types, err := wire.DecodeCatalog(r.Body)
 	if err != nil {
-		return core.CatalogResult{Outcome: core.Unknown}
+		return core.CatalogResult{Outcome: core.OutcomeUnknown}
 	}
-	return core.CatalogResult{Outcome: core.OK, Types: types}
+	return core.CatalogResult{Outcome: core.OutcomeOK, Types: types}
 }
 
 // Hosts lists all machines, page by page. Each page waits for its own token: a listing
@@ -94,59 +94,59 @@
 	after := ""
 	for {
 		if !c.admitPage(ctx) {
-			return core.HostsResult{Outcome: core.NotSent}
+			return core.HostsResult{Outcome: core.OutcomeNotSent}
 		}
 		path := "/hosts?Page=500"
 		if after != "" {
 			path += "&After=" + url.QueryEscape(after)
 		}
-		r := c.http.Do(ctx, timeout, http.MethodGet, path, nil)
+		r := c.http.Do(ctx, callTimeout, http.MethodGet, path, nil)
 		if r.Err != nil || r.Status != 200 {
-			return core.HostsResult{Outcome: core.Unknown}
+			return core.HostsResult{Outcome: core.OutcomeUnknown}
 		}
 		hosts, more, err := wire.DecodeHosts(r.Body)
 		if err != nil {
-			return core.HostsResult{Outcome: core.Unknown}
+			return core.HostsResult{Outcome: core.OutcomeUnknown}
 		}
 		out.Hosts = append(out.Hosts, hosts...)
 		if !more || len(hosts) == 0 {
-			out.Outcome = core.OK
+			out.Outcome = core.OutcomeOK
 			return out
 		}
 		after = hosts[len(hosts)-1].Name
 	}
 }
 
-// Hire rents machines.
-func (c *Client) Hire(ctx context.Context, op core.HireOp) core.HireResult {
+// Rent rents machines.
+func (c *Client) Rent(ctx context.Context, op core.RentHosts) core.RentResult {
 	if !c.admit(ctx) {
-		return core.HireResult{Outcome: core.NotSent}
+		return core.RentResult{Outcome: core.OutcomeNotSent}
 	}
-	r := c.http.Do(ctx, timeout, http.MethodPost, "/hosts", wire.EncodeHire(op))
+	r := c.http.Do(ctx, callTimeout, http.MethodPost, "/hosts", wire.EncodeRentRequest(op))
 	reply := wire.DecodeTxnReply(r.Body)
 	switch {
 	case r.Err != nil:
-		return core.HireResult{Outcome: core.Unknown}
+		return core.RentResult{Outcome: core.OutcomeUnknown}
 	case r.Status == 200:
-		hosts, err := wire.DecodeHired(r.Body)
+		hosts, err := wire.DecodeRented(r.Body)
 		if err != nil {
-			return core.HireResult{Outcome: core.Unknown}
+			return core.RentResult{Outcome: core.OutcomeUnknown}
 		}
-		return core.HireResult{Outcome: core.OK, Hosts: hosts}
+		return core.RentResult{Outcome: core.OutcomeOK, Hosts: hosts}
 	case r.Status == 503 && reply.Error == "no capacity", r.Status == 400:
-		return core.HireResult{Outcome: core.Refused}
+		return core.RentResult{Outcome: core.OutcomeRefused}
 	}
-	return core.HireResult{Outcome: core.NotSent}
+	return core.RentResult{Outcome: core.OutcomeNotSent}
 }
 
 // Return gives machines back.
 func (c *Client) Return(ctx context.Context, hosts []string) core.ReturnResult {
 	if !c.admit(ctx) {
-		return core.ReturnResult{Outcome: core.NotSent}
+		return core.ReturnResult{Outcome: core.OutcomeNotSent}
 	}
-	r := c.http.Do(ctx, timeout, http.MethodPost, "/hosts/return", wire.EncodeReturn(hosts))
+	r := c.http.Do(ctx, callTimeout, http.MethodPost, "/hosts/return", wire.EncodeReturnRequest(hosts))
 	if r.Err == nil && r.Status == 200 {
-		return core.ReturnResult{Outcome: core.OK}
+		return core.ReturnResult{Outcome: core.OutcomeOK}
 	}
-	return core.ReturnResult{Outcome: core.Unknown}
+	return core.ReturnResult{Outcome: core.OutcomeUnknown}
 }
--- a/internal/cloud/cloud_test.go
+++ b/internal/cloud/cloud_test.go
@@ -42,7 +42,7 @@
 	defer srv.Close()
 	c := New(strings.TrimPrefix(srv.URL, "http://"), 15, 0.33)
 	res := c.Hosts(t.Context())
-	assert.Equal(t, core.OK, res.Outcome)
+	assert.Equal(t, core.OutcomeOK, res.Outcome)
 	assert.Len(t, res.Hosts, 6000)
 	assert.Equal(t, int64(12), calls.Load())
 	assert.Equal(t, "vm-005999", res.Hosts[5999].Name)
@@ -59,6 +59,6 @@
 	go c.Hosts(t.Context())
 	time.Sleep(time.Second)
 	start := time.Now()
-	assert.Equal(t, core.OK, c.Hire(t.Context(), core.HireOp{Name: "r-1", Type: "g8", Zone: "a", Number: 1}).Outcome)
+	assert.Equal(t, core.OutcomeOK, c.Rent(t.Context(), core.RentHosts{Name: "r-1", Type: "g8", Zone: "a", Count: 1}).Outcome)
 	assert.Less(t, time.Since(start), 500*time.Millisecond, "pages leave a token to what is urgent")
 }
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -94,7 +94,7 @@
 		{8, 38, 58, 10, ""},
 	} {
 		o := DefaultOperator()
-		o.GraceS = c.grace
+		o.TakeoverDelaySeconds = c.grace
 		s, err := Parse([]byte(strings.Replace(good, was, fmt.Sprintf(`"report_s":%g,"lease_s":%g,"cancel_s":%g`, c.report, c.lease, c.cancel), 1)))
 		require.NoError(t, err)
 		got := s.Warnings(o)
@@ -134,7 +134,7 @@
 		text = strings.Replace(text, `"zones":["z","y"]`, `"zones":["z","y",`+zones(c.zones-2)+`]`, 1)
 		s, err := Parse([]byte(text))
 		require.NoError(t, err, c.to)
-		got := s.littleOf()
+		got := s.smallBudgets()
 		if c.warn == "" {
 			assert.Empty(t, got, c.to)
 			continue
@@ -168,8 +168,8 @@
 func TestOperatorSettings(t *testing.T) {
 	o, err := ParseOperator([]byte("[hiring]\nkeep_idle_s = 60\n"))
 	require.NoError(t, err)
-	assert.Equal(t, 60.0, o.KeepIdleS)
-	assert.Equal(t, DefaultOperator().HoldS, o.HoldS)
+	assert.Equal(t, 60.0, o.KeepIdleSeconds)
+	assert.Equal(t, DefaultOperator().LeaseTTLSeconds, o.LeaseTTLSeconds)
 	for _, bad := range []string{"[hiring]\nkeep_idle = 60\n", "[hiring]\nkeep_idle_s = soon\n", "[parts]\nhold_s = -1\n", "[other]\nx = 1\n"} {
 		_, err := ParseOperator([]byte(bad))
 		assert.Error(t, err, bad)
@@ -179,7 +179,7 @@
 func TestReadmeNamesEveryKnobWithItsDefault(t *testing.T) {
 	readme, err := os.ReadFile("../../README.md")
 	require.NoError(t, err)
-	for _, k := range Knobs() {
+	for _, k := range OperatorSettings() {
 		assert.Contains(t, string(readme), "| `"+k.Section+"` | `"+k.Key+"` | "+k.Default+" |")
 	}
 }
--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -73,9 +73,9 @@
 
 // Workers holds the workers' timing.
 type Workers struct {
-	ReportS float64 `json:"report_s"`
-	LeaseS  float64 `json:"lease_s"`
-	CancelS float64 `json:"cancel_s"`
+	HeartbeatSeconds float64 `json:"report_s"`
+	LeaseSeconds     float64 `json:"lease_s"`
+	CancelSeconds    float64 `json:"cancel_s"`
 }
 
 // State holds the state service's limits.
@@ -88,8 +88,8 @@
 
 // Cloud holds the cloud interface's limits.
 type Cloud struct {
-	RPS      float64 `json:"rps"`
-	ListLagS float64 `json:"list_lag_s"`
+	RPS            float64 `json:"rps"`
+	ListLagSeconds float64 `json:"list_lag_s"`
 }
 
 // Resources is what one controller may use.
@@ -171,9 +171,9 @@
 		field string
 		v     float64
 	}{
-		{"deployment.workers.report_s", d.Workers.ReportS},
-		{"deployment.workers.lease_s", d.Workers.LeaseS},
-		{"deployment.workers.cancel_s", d.Workers.CancelS},
+		{"deployment.workers.report_s", d.Workers.HeartbeatSeconds},
+		{"deployment.workers.lease_s", d.Workers.LeaseSeconds},
+		{"deployment.workers.cancel_s", d.Workers.CancelSeconds},
 		{"deployment.state.rps", d.State.RPS},
 		{"deployment.state.write_rps", d.State.WriteRPS},
 		{"deployment.state.value_kb", d.State.ValueKB},
@@ -185,17 +185,17 @@
 			return fmt.Errorf("%s: must be above zero", p.field)
 		}
 	}
-	if d.State.TxnOps < leastOps {
-		return fmt.Errorf("deployment.state.txn_ops: %d is too few, at least %d are needed", d.State.TxnOps, leastOps)
+	if d.State.TxnOps < minTxnOps {
+		return fmt.Errorf("deployment.state.txn_ops: %d is too few, at least %d are needed", d.State.TxnOps, minTxnOps)
 	}
-	if d.Workers.CancelS <= d.Workers.LeaseS {
+	if d.Workers.CancelSeconds <= d.Workers.LeaseSeconds {
 		return fmt.Errorf("deployment.workers.cancel_s: must be above lease_s")
 	}
 	for _, p := range []struct {
 		field string
 		v     float64
 	}{
-		{"deployment.cloud.list_lag_s", d.Cloud.ListLagS},
+		{"deployment.cloud.list_lag_s", d.Cloud.ListLagSeconds},
 		{"deployment.resources.core_share", d.Resources.CoreShare},
 		{"deployment.resources.memory_mb", d.Resources.MemoryMB},
 		{"deployment.resources.fd_limit", float64(d.Resources.FDLimit)},
@@ -208,19 +208,19 @@
 	return nil
 }
 
-// leastOps is how many changes a task's move to another part takes at once.
-const leastOps = 3
+// minTxnOps is how many changes a task's move to another part takes at once.
+const minTxnOps = 3
 
 // What every controller should have, whatever it owns: renewing its lease and
 // following the store, being heard at all, the cloud's list now and then, and
 // sockets for calls to the outside beside those for users and workers.
 const (
-	leastRequests = 3.0
-	leastChanges  = 1.0
-	leastCalls    = 0.1
-	leastMemoryMB = 24.0
-	leastSockets  = 48
-	leastValueKB  = 2.0 // lists a few dozen tasks that run
+	minRequests   = 3.0
+	minWrites     = 1.0
+	minCloudCalls = 0.1
+	minMemoryMB   = 24.0
+	minSockets    = 48
+	minValueKB    = 2.0 // lists a few dozen tasks that run
 )
 
 // What the store's values hold: a job's description, and something of each zone.
@@ -229,9 +229,9 @@
 	zoneEntryBytes = 48.0
 )
 
-// wellAnswered is for how many seconds workers should be answered when nobody can tell
+// answeredShare is for how many seconds workers should be answered when nobody can tell
 // whether a withdrawal was missed.
-const wellAnswered = 5.0
+const answeredShare = 5.0
 
 // Warnings names the settings of the platform and the operators that make a promise
 // impossible or poor: what is so little that so many controllers and zones will run badly,
@@ -239,22 +239,22 @@
 // serves somebody, and a controller that is refused here because of a reckoning would serve
 // nobody. More controllers than zones are well: those without a part stand by.
 func (s *Settings) Warnings(o *Operator) []string {
-	return slices.Concat(s.littleOf(), s.timesApart(o), s.zonesAlone(), s.tooManyReports(o))
+	return slices.Concat(s.smallBudgets(), s.conflictingTimes(o), s.unmatchedZones(), s.tooManyHeartbeats(o))
 }
 
-// reportCost is what a worker's report costs its owner, in seconds of a whole core, with
+// heartbeatCoreSeconds is what a worker's report costs its owner, in seconds of a whole core, with
 // all that follows from it: planning, records, orders. On simulated days at about 4,000
 // machines controllers used 0.5 to 1.1 ms for each, on a processor at half the usual speed.
-const reportCost = 0.0005
+const heartbeatCoreSeconds = 0.0005
 
-// tooManyReports says whether the operators' number of machines reports more often than the
+// tooManyHeartbeats says whether the operators' number of machines reports more often than the
 // controllers' shares of a core allow, all of them together and the last one alone.
-func (s *Settings) tooManyReports(o *Operator) []string {
+func (s *Settings) tooManyHeartbeats(o *Operator) []string {
 	share, controllers := s.Deployment.Resources.CoreShare, float64(1+len(s.Others))
 	if o.Machines == 0 || share == 0 {
 		return nil
 	}
-	reports, each := o.Machines/s.Deployment.Workers.ReportS, share/reportCost
+	reports, each := o.Machines/s.Deployment.Workers.HeartbeatSeconds, share/heartbeatCoreSeconds
 	reckoning := fmt.Sprintf("[fleet] machines: %g machines report %.0f times a second; a controller with %g of a core takes about %.0f", o.Machines, reports, share, each)
 	switch {
 	case reports > each*controllers:
@@ -265,8 +265,8 @@
 	return nil
 }
 
-// littleOf names what there is too little of.
-func (s *Settings) littleOf() []string {
+// smallBudgets names what there is too little of.
+func (s *Settings) smallBudgets() []string {
 	n, zones := float64(1+len(s.Others)), float64(len(s.Deployment.Zones))
 	d := &s.Deployment
 	perZone := 0.0
@@ -279,13 +279,13 @@
 		has, least float64
 		what       string
 	}{
-		{"deployment.state.rps", d.State.RPS, leastRequests * n, "for %g controllers"},
-		{"deployment.state.write_rps", d.State.WriteRPS, max(leastChanges*n, 1+leastChanges*zones), "for %g controllers"},
+		{"deployment.state.rps", d.State.RPS, minRequests * n, "for %g controllers"},
+		{"deployment.state.write_rps", d.State.WriteRPS, max(minWrites*n, 1+minWrites*zones), "for %g controllers"},
 		{"deployment.state.txn_ops", float64(d.State.TxnOps), 1 + zones, "for a job that goes to all zones at once"},
-		{"deployment.state.value_kb", d.State.ValueKB, max(leastValueKB, math.Ceil((specBytes+perZone)/1024)), "for what is kept of a job's tasks and of each zone"},
-		{"deployment.cloud.rps", d.Cloud.RPS, leastCalls * n, "for %g controllers"},
-		{"deployment.resources.memory_mb", d.Resources.MemoryMB, leastMemoryMB, "for %g controllers"},
-		{"deployment.resources.fd_limit", float64(d.Resources.FDLimit), leastSockets + 4*(n-1), "for %g controllers"},
+		{"deployment.state.value_kb", d.State.ValueKB, max(minValueKB, math.Ceil((specBytes+perZone)/1024)), "for what is kept of a job's tasks and of each zone"},
+		{"deployment.cloud.rps", d.Cloud.RPS, minCloudCalls * n, "for %g controllers"},
+		{"deployment.resources.memory_mb", d.Resources.MemoryMB, minMemoryMB, "for %g controllers"},
+		{"deployment.resources.fd_limit", float64(d.Resources.FDLimit), minSockets + 4*(n-1), "for %g controllers"},
 	} {
 		if b.has > 0 && b.has < b.least {
 			what := b.what
@@ -298,32 +298,32 @@
 	return out
 }
 
-// timesApart names times that don't go together.
-func (s *Settings) timesApart(o *Operator) []string {
+// conflictingTimes names times that don't go together.
+func (s *Settings) conflictingTimes(o *Operator) []string {
 	w := &s.Deployment.Workers
 	var out []string
 	warn := func(format string, args ...any) { out = append(out, fmt.Sprintf(format, args...)) }
-	enough := math.Ceil((w.LeaseS + wellAnswered + 2) / 0.99)
-	switch answer := core.AnswerFor(Seconds(w.LeaseS), Seconds(w.CancelS)).Seconds(); {
+	enough := math.Ceil((w.LeaseSeconds + answeredShare + 2) / 0.99)
+	switch answer := core.AnswerWindow(Seconds(w.LeaseSeconds), Seconds(w.CancelSeconds)).Seconds(); {
 	case answer <= 0:
-		warn("deployment.workers.cancel_s: with %g no worker can ever be answered, since its lease of %g s must be over by then; %g would do", w.CancelS, w.LeaseS, enough)
-	case answer < wellAnswered:
-		warn("deployment.workers.cancel_s: %g is so close to lease_s, %g, that a controller which loses the state service while another is down answers its workers for %.1f s only; %g would do", w.CancelS, w.LeaseS, answer, enough)
+		warn("deployment.workers.cancel_s: with %g no worker can ever be answered, since its lease of %g s must be over by then; %g would do", w.CancelSeconds, w.LeaseSeconds, enough)
+	case answer < answeredShare:
+		warn("deployment.workers.cancel_s: %g is so close to lease_s, %g, that a controller which loses the state service while another is down answers its workers for %.1f s only; %g would do", w.CancelSeconds, w.LeaseSeconds, answer, enough)
 	}
-	if w.ReportS > w.LeaseS/3 {
-		warn("deployment.workers.report_s: %g is more than a third of lease_s, %g: reports lost in a row cost a worker its lease", w.ReportS, w.LeaseS)
+	if w.HeartbeatSeconds > w.LeaseSeconds/3 {
+		warn("deployment.workers.report_s: %g is more than a third of lease_s, %g: reports lost in a row cost a worker its lease", w.HeartbeatSeconds, w.LeaseSeconds)
 	}
-	report, lease, knobs := Seconds(w.ReportS), Seconds(w.LeaseS), o.Knobs()
-	if found := knobs.TakenOverIn(report, lease, false); found > lease {
-		warn("deployment.workers.lease_s: %g is less than the %.1f s in which workers find another controller at best when theirs ends, so its end costs running work", w.LeaseS, found.Seconds())
-	} else if found = knobs.TakenOverIn(report, lease, true); found > lease {
-		warn("[parts] grace_s: %g is too long: with it workers find another zone's controller in %.1f s at best, and lease_s is %g", o.GraceS, found.Seconds(), w.LeaseS)
+	report, lease, knobs := Seconds(w.HeartbeatSeconds), Seconds(w.LeaseSeconds), o.Tuning()
+	if found := knobs.FailoverTime(report, lease, false); found > lease {
+		warn("deployment.workers.lease_s: %g is less than the %.1f s in which workers find another controller at best when theirs ends, so its end costs running work", w.LeaseSeconds, found.Seconds())
+	} else if found = knobs.FailoverTime(report, lease, true); found > lease {
+		warn("[parts] grace_s: %g is too long: with it workers find another zone's controller in %.1f s at best, and lease_s is %g", o.TakeoverDelaySeconds, found.Seconds(), w.LeaseSeconds)
 	}
 	return out
 }
 
-// zonesAlone names zones without a controller, and controllers that are in no zone.
-func (s *Settings) zonesAlone() []string {
+// unmatchedZones names zones without a controller, and controllers that are in no zone.
+func (s *Settings) unmatchedZones() []string {
 	var out, alone []string
 	in := map[string]bool{s.Location: true}
 	at := func(field, location string) {
--- a/internal/core/amounts_test.go
+++ b/internal/core/amounts_test.go
@@ -10,13 +10,13 @@
 
 func TestAbsurdAmountsDoNotRunOver(t *testing.T) {
 	assert.Equal(t, 1500*time.Millisecond, duration(1.5))
-	assert.Equal(t, 3, count(3.9))
-	assert.Equal(t, -3, count(-3.9))
+	assert.Equal(t, 3, wholeTasks(3.9))
+	assert.Equal(t, -3, wholeTasks(-3.9))
 	for _, x := range []float64{1e10, 1e300, math.Inf(1)} {
 		assert.Positive(t, 50*duration(x))
 		assert.Negative(t, 50*duration(-x))
-		assert.Positive(t, count(x))
-		assert.Negative(t, count(-x))
+		assert.Positive(t, wholeTasks(x))
+		assert.Negative(t, wholeTasks(-x))
 	}
-	assert.Positive(t, count(math.NaN()), "nothing needed of no room")
+	assert.Positive(t, wholeTasks(math.NaN()), "nothing needed of no room")
 }
--- a/internal/core/backfill.go
+++ b/internal/core/backfill.go
@@ -14,32 +14,32 @@
 // that saves its progress is preempted. Without that, long tasks that came in a quiet
 // hour held the machines, and every later peak of urgent work waited for them.
 
-// seeTeams notes which teams use less than their guarantee.
-func (c *Core) seeTeams() {
-	for t := range c.limits {
-		used, g := c.teamUse(t), c.limits[t].Guarantee
-		c.within[t] = used.Cores < g.Cores || used.Cards < g.Cards
+// updateGuarantees notes which teams use less than their guarantee.
+func (c *Core) updateGuarantees() {
+	for t := range c.teamConfigs {
+		used, g := c.teamUsage(t), c.teamConfigs[t].Guarantee
+		c.underGuarantee[t] = used.Cores < g.Cores || used.GPUs < g.GPUs
 	}
 }
 
-// backfills says whether a job only borrows.
-func (c *Core) backfills(j *job) bool {
-	if j.team < 0 {
+// isBackfill says whether a job only borrows.
+func (c *Core) isBackfill(job *Job) bool {
+	if job.team < 0 {
 		return false
 	}
-	return c.limits[j.team].Guarantee == (Amount{}) || j.spec.Priority == priorities-1 && !c.within[j.team]
+	return c.teamConfigs[job.team].Guarantee == (Resources{}) || job.spec.Priority == priorities-1 && !c.underGuarantee[job.team]
 }
 
 // preemptible says whether a running task may be stopped at little loss for a job that
 // needs its room.
-func (c *Core) preemptible(t *task) bool {
-	j := t.job()
-	return j != nil && j.standing == Pending && t.phase == onHost && !t.halting && c.backfills(j) &&
-		(j.spec.Checkpoint > 0 || t.state == Fetching)
+func (c *Core) preemptible(task *Task) bool {
+	job := task.job()
+	return job != nil && job.state == JobPending && task.phase == taskPlaced && !task.stopping && c.isBackfill(job) &&
+		(job.spec.CheckpointSeconds > 0 || task.state == TaskFetching)
 }
 
-// kept is what is kept free of backfill, in cores by pool of machine types.
-type kept struct {
+// backfillReserve is what is kept free of backfill, in cores by pool of machine types.
+type backfillReserve struct {
 	pools []uint64
 	cores []float64
 }
@@ -50,25 +50,25 @@
 
 // roomForBackfill is what backfill may still take of the part's machines, by pool: what is
 // there, less what others use or are likely to want again, less what backfill have.
-func (c *Core) roomForBackfill(p *part) []float64 {
-	total, backfill, others := make([]float64, len(p.keep.pools)), make([]float64, len(p.keep.pools)), make([]float64, len(p.keep.pools))
-	for _, h := range p.hostList() {
-		if !h.planned(c.now) || h.state != up {
+func (c *Core) roomForBackfill(shard *Shard) []float64 {
+	total, backfill, others := make([]float64, len(shard.reserve.pools)), make([]float64, len(shard.reserve.pools)), make([]float64, len(shard.reserve.pools))
+	for _, host := range shard.hostList() {
+		if !host.countsForPlans(c.now) || host.state != hostUp {
 			continue
 		}
-		i := poolOf(p.keep.pools, h.typ)
-		total[i] += c.types[h.typ].Total.Cores
-		for _, t := range h.tasks {
-			if j := t.job(); j != nil && c.backfills(j) {
-				backfill[i] += c.takes(t.need, h.typ)
+		i := poolOf(shard.reserve.pools, host.typeIndex)
+		total[i] += c.types[host.typeIndex].Capacity.Cores
+		for _, task := range host.tasks {
+			if job := task.job(); job != nil && c.isBackfill(job) {
+				backfill[i] += c.coresTaken(task.need, host.typeIndex)
 			} else {
-				others[i] += c.takes(t.need, h.typ)
+				others[i] += c.coresTaken(task.need, host.typeIndex)
 			}
 		}
 	}
 	room := make([]float64, len(total))
 	for i := range room {
-		kept := max(others[i], min(p.keep.cores[i], total[i]*(1-backfillShare)))
+		kept := max(others[i], min(shard.reserve.cores[i], total[i]*(1-backfillShare)))
 		room[i] = total[i] - kept - backfill[i]
 	}
 	return room
@@ -76,16 +76,16 @@
 
 // backfillCandidates is the machines of pools in which a backfill job's tasks still have room, and how
 // many of them all pools together may take.
-func (c *Core) backfillCandidates(k *kept, j *job, all []device, left []float64) (fit []device, most int) {
+func (c *Core) backfillCandidates(k *backfillReserve, job *Job, all []device, left []float64) (fit []device, most int) {
 	for _, d := range all {
-		if left[poolOf(k.pools, d.host.typ)] >= c.takes(j.spec.Need, d.host.typ) {
+		if left[poolOf(k.pools, d.host.typeIndex)] >= c.coresTaken(job.spec.Need, d.host.typeIndex) {
 			fit = append(fit, d)
 		}
 	}
 	for i, room := range left {
 		for t := range c.types {
 			if poolOf(k.pools, t) == i && room > 0 {
-				most += count(room / c.takes(j.spec.Need, t))
+				most += wholeTasks(room / c.coresTaken(job.spec.Need, t))
 				break
 			}
 		}
@@ -95,78 +95,78 @@
 
 // backfillRoomOn is what backfill may still take of a part's machines of a type, as its owner
 // last said or as was last reckoned here.
-func (c *Core) backfillRoomOn(p *part, typ int) float64 {
-	if !p.mine || !p.loaded {
-		if p.view == nil {
+func (c *Core) backfillRoomOn(shard *Shard, typ int) float64 {
+	if !shard.owned || !shard.loaded {
+		if shard.view == nil {
 			return 0
 		}
-		return p.view.Fill[c.types[typ].Name]
+		return shard.view.BackfillRoom[c.types[typ].Name]
 	}
-	if p.keep.pools == nil {
+	if shard.reserve.pools == nil {
 		return 0
 	}
-	if p.backfillRoom == nil || c.now > p.backfillAt+500*time.Millisecond {
-		p.backfillRoom, p.backfillAt = c.roomForBackfill(p), c.now
+	if shard.backfillRoom == nil || c.now > shard.backfillRoomAt+500*time.Millisecond {
+		shard.backfillRoom, shard.backfillRoomAt = c.roomForBackfill(shard), c.now
 	}
-	return p.backfillRoom[poolOf(p.keep.pools, typ)]
+	return shard.backfillRoom[poolOf(shard.reserve.pools, typ)]
 }
 
-// fullCost is by how many seconds a part without room for backfill is worse for one
+// noBackfillRoomCost is by how many seconds a part without room for backfill is worse for one
 // than a part with some.
-const fullCost = 30.0
+const noBackfillRoomCost = 30.0
 
-// beginWith is how many tasks of a backfill job that has waited far too long for its first
+// overdueBackfillTasks is how many tasks of a backfill job that has waited far too long for its first
 // start at once, whatever is kept for others.
-const beginWith = 4
+const overdueBackfillTasks = 4
 
-// keeps says whether a backfill job leaves alone what is kept for others. One that has been
+// leavesReserve says whether a backfill job leaves alone what is kept for others. One that has been
 // there for very long does not any more; it still comes after all others.
-func (c *Core) keeps(s *slice) bool {
-	return c.backfills(s.job) && !c.overdue(s) && !c.leftOut(s) && c.now <= s.job.since+endBy
+func (c *Core) leavesReserve(s *Assignment) bool {
+	return c.isBackfill(s.job) && !c.isOverdue(s) && !c.hasWaitedTooLong(s) && c.now <= s.job.knownSince+overdueAfter
 }
 
-// backfillWaits is how long all of a backfill job may wait beside room that is kept for others.
-const backfillWaits = time.Minute
+// backfillWait is how long all of a backfill job may wait beside room that is kept for others.
+const backfillWait = time.Minute
 
-// leftOut says whether nothing of a backfill job has run here for so long that some of it starts
+// hasWaitedTooLong says whether nothing of a backfill job has run here for so long that some of it starts
 // whatever is kept for others. Time spent in other parts counts: what was moved for want
 // of room had waited its minute there, and waited another one in each part.
-func (c *Core) leftOut(s *slice) bool {
-	return len(s.tasks) == 0 && c.now > max(s.job.since, s.bareAt)+backfillWaits
+func (c *Core) hasWaitedTooLong(s *Assignment) bool {
+	return len(s.tasks) == 0 && c.now > max(s.job.knownSince, s.lastExitAt)+backfillWait
 }
 
 // preemptibleFor says whether a task may be stopped so that one of job j's starts in its room:
 // what only borrows, and any array of lower priority for the replicas of a service. A
 // replica that is missing is missed every second, and it stays: stopped once, the
 // array's task starts elsewhere and that room is the service's for good.
-func (c *Core) preemptibleFor(t *task, j *job) bool {
-	v := t.job()
-	if c.preemptible(t) {
-		return v.spec.Priority > j.spec.Priority || c.within[j.team]
+func (c *Core) preemptibleFor(task *Task, job *Job) bool {
+	v := task.job()
+	if c.preemptible(task) {
+		return v.spec.Priority > job.spec.Priority || c.underGuarantee[job.team]
 	}
-	return v != nil && j.spec.Service && !v.spec.Service && v.spec.Priority > j.spec.Priority &&
-		v.standing == Pending && t.phase == onHost && !t.halting
+	return v != nil && job.spec.Service && !v.spec.Service && v.spec.Priority > job.spec.Priority &&
+		v.state == JobPending && task.phase == taskPlaced && !task.stopping
 }
 
 // preemptibleHosts lists the machines with tasks that would give way to somebody.
-func (c *Core) preemptibleHosts(p *part) []*host {
-	return c.usableWith(p, c.preemptible)
+func (c *Core) preemptibleHosts(p *Shard) []*Host {
+	return c.usableHostsWith(p, c.preemptible)
 }
 
 // preemptibleHostsFor lists those with tasks that would give way to a service's replicas.
-func (c *Core) preemptibleHostsFor(p *part, j *job) []*host {
-	return c.usableWith(p, func(t *task) bool { return c.preemptibleFor(t, j) })
+func (c *Core) preemptibleHostsFor(p *Shard, j *Job) []*Host {
+	return c.usableHostsWith(p, func(t *Task) bool { return c.preemptibleFor(t, j) })
 }
 
-func (c *Core) usableWith(p *part, which func(*task) bool) []*host {
-	out := []*host{}
-	for _, h := range p.hostList() {
-		if h.typ < 0 || !h.usable(c.now) {
+func (c *Core) usableHostsWith(shard *Shard, which func(*Task) bool) []*Host {
+	out := []*Host{}
+	for _, host := range shard.hostList() {
+		if host.typeIndex < 0 || !host.isUsable(c.now) {
 			continue
 		}
-		for _, t := range h.tasks {
-			if which(t) {
-				out = append(out, h)
+		for _, task := range host.tasks {
+			if which(task) {
+				out = append(out, host)
 				break
 			}
 		}
@@ -174,49 +174,49 @@
 	return out
 }
 
-// saveTime is how long a worker may take beyond a task's own time to save.
-const saveTime = 1.0
+// saveMargin is how long a worker may take beyond a task's own time to save.
+const saveMargin = 1.0
 
-// makeRoom stops tasks that give way where their room lets tasks of the job start that
+// preemptFor stops tasks that give way where their room lets tasks of the job start that
 // would wait otherwise, and returns how many. As few are stopped as will do, those that lose
 // least first; they save if the job can wait for that. What is being made is
 // remembered, so that no plan asks for the same room twice.
-func (c *Core) makeRoom(p *part, s *slice, tasks int, by float64, hosts []*host) int {
-	j := s.job
-	s.making = slices.DeleteFunc(s.making, func(until time.Duration) bool { return c.now >= until })
-	tasks -= len(s.making)
-	if tasks <= 0 || c.backfills(j) || j.spec.Gang || j.doubt > 0 {
-		return len(s.making)
+func (c *Core) preemptFor(shard *Shard, assignment *Assignment, tasks int, by float64, hosts []*Host) int {
+	job := assignment.job
+	assignment.pendingPreemptions = slices.DeleteFunc(assignment.pendingPreemptions, func(until time.Duration) bool { return c.now >= until })
+	tasks -= len(assignment.pendingPreemptions)
+	if tasks <= 0 || c.isBackfill(job) || job.spec.Gang || job.failedTrials > 0 {
+		return len(assignment.pendingPreemptions)
 	}
 	type offer struct {
-		host    *host
-		victims []*task
-		free    Amount
+		host    *Host
+		victims []*Task
+		free    Resources
 		image   bool
 		loss    float64
 	}
 	var offers []offer
-	for _, h := range hosts {
-		if !h.usable(c.now) || !c.allowedOn(j, c.kind(p.zone, h.typ, h.spot)) {
+	for _, host := range hosts {
+		if !host.isUsable(c.now) || !c.allowedOn(job, c.kindIndex(shard.zone, host.typeIndex, host.spot)) {
 			continue
 		}
-		if c.imageAt(h, j)+worthStopping > by {
+		if c.imageReadyAt(host, job)+minPreemptionGain > by {
 			continue // it may as well wait for the room that is planned for it
 		}
-		o := offer{host: h, free: c.types[h.typ].Total}
-		for _, id := range sortedTasks(h.tasks) { // sums must not depend on a map's order
-			t := h.tasks[id]
-			o.free = o.free.plus(t.need, -1)
-			if c.preemptibleFor(t, j) {
-				o.victims = append(o.victims, t)
-				o.loss += c.lossOf(t)
+		o := offer{host: host, free: c.types[host.typeIndex].Capacity}
+		for _, id := range sortedTasks(host.tasks) { // sums must not depend on a map's order
+			task := host.tasks[id]
+			o.free = o.free.plus(task.need, -1)
+			if c.preemptibleFor(task, job) {
+				o.victims = append(o.victims, task)
+				o.loss += c.preemptionLoss(task)
 			}
 		}
 		if len(o.victims) == 0 {
 			continue
 		}
 		o.loss /= float64(len(o.victims))
-		_, o.image = h.images[j.image]
+		_, o.image = host.images[job.image]
 		offers = append(offers, o)
 	}
 	slices.SortStableFunc(offers, func(a, b offer) int {
@@ -230,75 +230,75 @@
 	})
 	made := 0
 	for _, o := range offers {
-		slices.SortFunc(o.victims, func(a, b *task) int {
-			return cmp.Or(cmp.Compare(c.lossOf(a), c.lossOf(b)), cmp.Compare(a.id.Job, b.id.Job), cmp.Compare(a.id.Index, b.id.Index))
+		slices.SortFunc(o.victims, func(a, b *Task) int {
+			return cmp.Or(cmp.Compare(c.preemptionLoss(a), c.preemptionLoss(b)), cmp.Compare(a.id.Job, b.id.Job), cmp.Compare(a.id.Index, b.id.Index))
 		})
 		for made < tasks {
 			k, free := 0, o.free
-			for !j.spec.Need.plan().Within(free.plan()) && k < len(o.victims) {
+			for !job.spec.Need.plan().Within(free.plan()) && k < len(o.victims) {
 				free = free.plus(o.victims[k].need, 1)
 				k++
 			}
-			if k == 0 || !j.spec.Need.plan().Within(free.plan()) {
+			if k == 0 || !job.spec.Need.plan().Within(free.plan()) {
 				break // free without anybody's stopping is the plan's business
 			}
 			until := c.now + time.Second
-			for _, t := range o.victims[:k] {
-				leeway := c.leewayFor(j, t)
+			for _, task := range o.victims[:k] {
+				leeway := c.gracePeriodFor(job, task)
 				until = max(until, c.now+duration(leeway)+time.Second)
-				c.stats.Stopped++
-				c.note(1, "task stopped for a more urgent one", "job", t.id.Job, "task", t.id.Index, "host", o.host.name, "part", p.name, "for", j.id, "leeway", leeway)
-				c.halt(p, t, leeway)
+				c.stats.Preempted++
+				c.log(1, "task stopped for a more urgent one", "job", task.id.Job, "task", task.id.Index, "host", o.host.name, "part", shard.name, "for", job.id, "leeway", leeway)
+				c.stopTask(shard, task, leeway)
 			}
-			o.victims, o.free = o.victims[k:], free.plus(j.spec.Need, -1)
-			s.making = append(s.making, until)
+			o.victims, o.free = o.victims[k:], free.plus(job.spec.Need, -1)
+			assignment.pendingPreemptions = append(assignment.pendingPreemptions, until)
 			made++
 		}
 		if made >= tasks {
 			break
 		}
 	}
-	return len(s.making)
+	return len(assignment.pendingPreemptions)
 }
 
-// worthStopping is by how many seconds a task must start earlier for others to be
+// minPreemptionGain is by how many seconds a task must start earlier for others to be
 // stopped for it.
-const worthStopping = 3.0
+const minPreemptionGain = 3.0
 
-// imageAt is when a job's image can be on a machine.
-func (c *Core) imageAt(h *host, j *job) float64 {
-	if _, has := h.images[j.image]; has || j.image < 0 {
+// imageReadyAt is when a job's image can be on a machine.
+func (c *Core) imageReadyAt(host *Host, job *Job) float64 {
+	if _, has := host.images[job.image]; has || job.image < 0 {
 		return seconds(c.now)
 	}
-	if at, on := h.fetching[j.image]; on {
+	if at, on := host.fetching[job.image]; on {
 		return seconds(max(at, c.now))
 	}
-	return seconds(max(h.fetchEnd, c.now)) + j.spec.ImageGB*c.fetchRate(h.typ)
+	return seconds(max(host.fetchesDoneAt, c.now)) + job.spec.ImageGB*c.fetchRate(host.typeIndex)
 }
 
-// lossOf is how many core seconds of work are lost if a task is stopped without
+// preemptionLoss is how many core seconds of work are lost if a task is stopped without
 // having time to save.
-func (c *Core) lossOf(t *task) float64 {
-	j := t.job()
-	if j == nil || t.state != Running {
+func (c *Core) preemptionLoss(task *Task) float64 {
+	job := task.job()
+	if job == nil || task.state != TaskRunning {
 		return 0
 	}
-	ran := seconds(c.now - t.started)
-	if cp := j.spec.Checkpoint; cp > 0 {
+	ran := seconds(c.now - task.startedAt)
+	if cp := job.spec.CheckpointSeconds; cp > 0 {
 		ran = math.Mod(ran, cp)
 	}
-	return ran * t.need.Cores
+	return ran * task.need.Cores
 }
 
-// leewayFor is the time a task gets to save when it is stopped for job j: enough, if
+// gracePeriodFor is the time a task gets to save when it is stopped for job j: enough, if
 // j's starts are still in time after it, else none.
-func (c *Core) leewayFor(j *job, t *task) float64 {
-	v := t.job()
-	if v == nil || v.spec.Checkpoint <= 0 || t.state != Running {
+func (c *Core) gracePeriodFor(job *Job, task *Task) float64 {
+	v := task.job()
+	if v == nil || v.spec.CheckpointSeconds <= 0 || task.state != TaskRunning {
 		return 0
 	}
-	need := v.spec.Save + saveTime
-	if within, ok := c.cfg.Waits[j.spec.Class]; ok && seconds(c.now-j.since)+need > within && seconds(c.now-j.since) <= within {
+	need := v.spec.SaveSeconds + saveMargin
+	if within, ok := c.cfg.StartObjectives[job.spec.Class]; ok && seconds(c.now-job.knownSince)+need > within && seconds(c.now-job.knownSince) <= within {
 		return 0
 	}
 	return need
--- a/internal/core/consolidation.go
+++ b/internal/core/consolidation.go
@@ -48,88 +48,88 @@
 
 // consolidate empties machines of the types given as far as the surplus allows and
 // nothing in the zone waits for room.
-func (c *Core) consolidate(p *part, types uint64, over surplus) {
-	calm := len(p.shortage) == 0 && c.mayStart() && c.storeWell() && !c.dark(p)
+func (c *Core) consolidate(shard *Shard, types uint64, over surplus) {
+	calm := len(shard.unplaced) == 0 && c.mayStartTasks() && c.storeReachable() && !c.noHeartbeats(shard)
 	cordoned, machines := 0, 0
-	for _, h := range p.hostList() {
-		if h.typ < 0 || types&(1<<h.typ) == 0 || h.state != up {
+	for _, host := range shard.hostList() {
+		if host.typeIndex < 0 || types&(1<<host.typeIndex) == 0 || host.state != hostUp {
 			continue
 		}
 		machines++
-		if !h.cordoned {
+		if !host.cordoned {
 			continue
 		}
-		stuck := len(h.tasks) > 0 && c.now > h.cordonedAt+longestCordon
-		if !calm || stuck || !over.take(c.types[h.typ].Total.Cores, h.spot) {
-			h.cordoned = false
-			p.replan = true
+		stuck := len(host.tasks) > 0 && c.now > host.cordonedAt+longestCordon
+		if !calm || stuck || !over.take(c.types[host.typeIndex].Capacity.Cores, host.spot) {
+			host.cordoned = false
+			shard.needsPlan = true
 			continue
 		}
 		cordoned++
-		c.evictReplicas(p, h)
+		c.evictReplicas(shard, host)
 	}
 	most := max(int(float64(machines)*cordonedShare), cordonedLeast)
 	if calm && cordoned < most {
-		c.cordonMachines(p, types, over, most-cordoned)
+		c.cordonMachines(shard, types, over, most-cordoned)
 	}
 }
 
 // cordonMachines chooses up to so many machines whose replicas have room elsewhere, those
 // with the fewest first.
-func (c *Core) cordonMachines(p *part, types uint64, over surplus, most int) {
+func (c *Core) cordonMachines(shard *Shard, types uint64, over surplus, most int) {
 	var rooms []*receiver
-	for _, h := range p.hostList() {
-		if h.typ >= 0 && types&(1<<h.typ) != 0 && h.usable(c.now) && len(h.tasks) > 0 {
-			rooms = append(rooms, c.receiverOf(h))
+	for _, host := range shard.hostList() {
+		if host.typeIndex >= 0 && types&(1<<host.typeIndex) != 0 && host.isUsable(c.now) && len(host.tasks) > 0 {
+			rooms = append(rooms, c.receiverOf(host))
 		}
 	}
 	slices.SortStableFunc(rooms, func(a, b *receiver) int { return cmp.Compare(a.used, b.used) })
 	tries := 0
 	for i, r := range rooms {
-		if most == 0 || tries == cordonTries || r.used > consolidateUpTo*c.types[r.host.typ].Total.Cores {
+		if most == 0 || tries == cordonTries || r.used > consolidateUpTo*c.types[r.host.typeIndex].Capacity.Cores {
 			return
 		}
 		if r.receives || !c.onlyReplicas(r.host) {
 			continue
 		}
 		tries++
-		if !c.fitElsewhere(p, r.host, rooms[i+1:]) {
+		if !c.fitElsewhere(shard, r.host, rooms[i+1:]) {
 			continue
 		}
-		if !over.take(c.types[r.host.typ].Total.Cores, r.host.spot) {
+		if !over.take(c.types[r.host.typeIndex].Capacity.Cores, r.host.spot) {
 			return
 		}
 		r.host.cordoned, r.host.cordonedAt = true, c.now
 		most--
-		c.note(1, "host cordoned", "host", r.host.name, "part", p.name, "replicas", len(r.host.tasks))
-		c.evictReplicas(p, r.host)
+		c.log(1, "host cordoned", "host", r.host.name, "part", shard.name, "replicas", len(r.host.tasks))
+		c.evictReplicas(shard, r.host)
 	}
 }
 
 // receiver is a machine that may take replicas of others.
 type receiver struct {
-	host     *host
+	host     *Host
 	used     float64 // of the machine, in its cores
-	free     Amount
+	free     Resources
 	receives bool // some replica is to go there
 }
 
-func (c *Core) receiverOf(h *host) *receiver {
-	r := &receiver{host: h, free: c.types[h.typ].Total}
-	for _, id := range sortedTasks(h.tasks) { // sums must not depend on a map's order
-		t := h.tasks[id]
-		r.used += c.takes(t.need, h.typ)
-		r.free = r.free.plus(t.need, -1)
+func (c *Core) receiverOf(host *Host) *receiver {
+	r := &receiver{host: host, free: c.types[host.typeIndex].Capacity}
+	for _, id := range sortedTasks(host.tasks) { // sums must not depend on a map's order
+		task := host.tasks[id]
+		r.used += c.coresTaken(task.need, host.typeIndex)
+		r.free = r.free.plus(task.need, -1)
 	}
 	return r
 }
 
 // onlyReplicas says whether all that is on a machine are replicas that have served for a
 // while: a start that is stopped at once would count as none.
-func (c *Core) onlyReplicas(h *host) bool {
-	for _, t := range h.tasks {
-		j := t.job()
-		if j == nil || !j.spec.Service || t.phase != onHost || t.halting || t.state != Running || c.now < t.started+longRun {
+func (c *Core) onlyReplicas(host *Host) bool {
+	for _, task := range host.tasks {
+		job := task.job()
+		if job == nil || !job.spec.Service || task.phase != taskPlaced || task.stopping || task.state != TaskRunning || c.now < task.startedAt+serviceProvenAfter {
 			return false
 		}
 	}
@@ -139,22 +139,22 @@
 // fitElsewhere books room on the receivers for all replicas of a machine, the fullest
 // receiver first, and says whether there was enough. Only machines that hold a replica's
 // image count: it should be back within moments.
-func (c *Core) fitElsewhere(p *part, h *host, rooms []*receiver) bool {
+func (c *Core) fitElsewhere(shard *Shard, host *Host, rooms []*receiver) bool {
 	type booking struct {
 		to   *receiver
-		need Amount
+		need Resources
 	}
 	var booked []booking
-	for _, id := range sortedTasks(h.tasks) {
-		t := h.tasks[id]
-		j := t.job()
+	for _, id := range sortedTasks(host.tasks) {
+		task := host.tasks[id]
+		job := task.job()
 		found := false
 		for i := len(rooms) - 1; i >= 0 && !found; i-- {
 			r := rooms[i]
-			_, image := r.host.images[j.image]
-			if (image || j.image < 0) && t.need.plan().Within(r.free.plan()) && c.allowedOn(j, c.kind(p.zone, r.host.typ, r.host.spot)) {
-				r.free = r.free.plus(t.need, -1)
-				booked = append(booked, booking{r, t.need})
+			_, image := r.host.images[job.image]
+			if (image || job.image < 0) && task.need.plan().Within(r.free.plan()) && c.allowedOn(job, c.kindIndex(shard.zone, r.host.typeIndex, r.host.spot)) {
+				r.free = r.free.plus(task.need, -1)
+				booked = append(booked, booking{r, task.need})
 				found = true
 			}
 		}
@@ -172,22 +172,22 @@
 }
 
 // evictReplicas stops those replicas of a cordoned machine whose services miss none here.
-func (c *Core) evictReplicas(p *part, h *host) {
-	for _, id := range sortedTasks(h.tasks) {
-		t := h.tasks[id]
-		if j := t.job(); j != nil && j.spec.Service && t.phase == onHost && t.slice.allRun() {
-			c.note(1, "replica evicted", "job", id.Job, "task", id.Index, "host", h.name, "part", p.name)
-			c.halt(p, t, 0)
+func (c *Core) evictReplicas(shard *Shard, host *Host) {
+	for _, id := range sortedTasks(host.tasks) {
+		task := host.tasks[id]
+		if job := task.job(); job != nil && job.spec.Service && task.phase == taskPlaced && task.assignment.allRun() {
+			c.log(1, "replica evicted", "job", id.Job, "task", id.Index, "host", host.name, "part", shard.name)
+			c.stopTask(shard, task, 0)
 		}
 	}
 }
 
 // allRun says whether every task of a slice that is not done runs and goes on running.
-func (s *slice) allRun() bool {
-	for _, t := range s.tasks {
-		if t.state != Running || t.halting {
+func (a *Assignment) allRun() bool {
+	for _, task := range a.tasks {
+		if task.state != TaskRunning || task.stopping {
 			return false
 		}
 	}
-	return len(s.waiting) == 0
+	return len(a.waiting) == 0
 }
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -11,169 +11,179 @@
 	"roadcleat/internal/plan"
 )
 
-// Peer is another controller.
-type Peer struct{ Label, Zone string }
+// PeerConfig is another controller.
+type PeerConfig struct{ Label, Zone string }
 
 // Team is a team's guarantee and limit. An amount of 0 means that there is none:
 // nothing guaranteed, or not limited.
 type Team struct {
 	Name             string
-	Guarantee, Limit Amount
+	Guarantee, Limit Resources
 }
 
-// Knobs are the operators' settings.
-type Knobs struct {
-	FetchSPerGB  float64
-	Frontier     int
-	KeepIdle     time.Duration
-	Window       time.Duration
-	SpareShare   float64
-	SilentReturn time.Duration
-	Hold         time.Duration
-	Grace        time.Duration
+// Tuning are the operators' settings.
+type Tuning struct {
+	FetchSecondsPerGB float64
+	Frontier          int
+	KeepIdle          time.Duration
+	DemandWindow      time.Duration
+	SpareShare        float64
+	ReturnSilentAfter time.Duration
+	LeaseTTL          time.Duration
+	TakeoverDelay     time.Duration
 }
 
 // Config is what a controller knows from its settings.
 type Config struct {
-	Label, Zone           string
-	Zones                 []string
-	Peers                 []Peer
-	Teams                 []Team
-	Finishes              map[string][]float64 // completion aims per class in seconds, tightest first
-	Deadlines             map[string][]float64 // aims per class in multiples of the job's deadline, likewise
-	Waits                 map[string]float64   // the tightest aim per class for the start of a task, in seconds
-	Report, Lease, Cancel time.Duration
-	ListLag               time.Duration
-	WorkerCalls           int // calls to workers that may be open at a time
-	TxnOps, ValueBytes    int
-	Changes               float64 // what the state service takes a second from all controllers; 0: not limited
-	Knobs                 Knobs
-	Boot                  uint64 // which life of this controller; never the same twice
-	Seed                  uint64
+	Label, Zone                                  string
+	Zones                                        []string
+	Peers                                        []PeerConfig
+	Teams                                        []Team
+	CompletionObjectives                         map[string][]float64 // completion aims per class in seconds, tightest first
+	DeadlineObjectives                           map[string][]float64 // aims per class in multiples of the job's deadline, likewise
+	StartObjectives                              map[string]float64   // the tightest aim per class for the start of a task, in seconds
+	HeartbeatInterval, WorkerLease, CancelWithin time.Duration
+	ListLag                                      time.Duration
+	MaxWorkerCalls                               int // calls to workers that may be open at a time
+	MaxTxnOps, MaxValueBytes                     int
+	WritesPerSecond                              float64 // what the state service takes a second from all controllers; 0: not limited
+	Tuning                                       Tuning
+	Epoch                                        uint64 // which life of this controller; never the same twice
+	Seed                                         uint64
 }
 
 // Core is one controller. It is not safe for concurrent use: one goroutine
 // owns it.
 type Core struct {
-	cfg     Config
-	now     time.Duration
-	out     []any
-	calls   map[uint64]func(any)
-	callSeq uint64
-	asked   map[string]int // calls by kind since they were last logged
-	askedAt time.Duration
-	rng     *rand.Rand
-
-	zones, teams, images, classes names
-	imageGB                       []float64 // by image
-	types                         []MachineType
-	typeIdx                       names
-	catalogAt, catalogAsked       time.Duration
-	catalogBusy                   bool
-	typesBusy                     bool
-	typesStamp                    uint64
-	typesKept                     string // the types the store holds, without their prices
-
-	parts []*part // by zone
-	peers []*peer // as in the settings
-	jobs  map[string]*job
-	final map[string]Standing // ended jobs; kept for ever
-
-	quotas []*quota // by team
-	limits []Team   // by team
-	within []bool   // by team: it uses less than its guarantee
-
-	overloadedAt  time.Duration // when requests were last turned away here, 0: never
-	wokeAt        time.Duration // when it last went on after it had stood still, 0: never
-	cutOffUntil   time.Duration
-	cloudOK       time.Duration // when the cloud last answered a listing
-	cloudBadSince time.Duration
-	heard         map[string]map[string]time.Duration // workers of others' parts, by zone
-	lease         uint64
-	leaseSent     time.Duration // when the last good renewal was sent
-	leaseBusy     bool
-	leaseRetry    time.Duration
-	storeOK       time.Duration // when a call that then succeeded was last sent
-	storeBadSince time.Duration
-	storeSeen     bool
-	partsView     view
-	jobsView      view
-	gossipAt      time.Duration
-	gossipSeq     uint64
-	sentAt        map[uint64]time.Duration // when my gossip of late was sent, by number
-	withdrawn     []withdrawal
-	batch         []*submission
-	batchAt       time.Duration
-	batching      map[string]*submission
-	asking        map[string][]uint64 // users' questions by job, not yet compared
-	askOrder      []string
-	verifying     int
-	verifyAt      time.Duration
-	commitsInUse  int
-	listAt        time.Duration
-	listBusy      bool
-	shown         map[string][]Shown
-	classRatio    []float64 // observed over estimated run time, by class
-	sPerGB        map[int]float64
-	kinds         []classKinds // by class
-	tickAt        time.Duration
-	timers        []timer
-	greets        int // calls to workers under way that make this owner known
-	share         Share
-	shareAt       time.Duration
-	wanted, wants Share // calls made since shareAt, and by the second of late
-	stats         Stats
-}
-
-// Stats are counters for the operators.
+	cfg           Config
+	now           time.Duration
+	effects       []any
+	pendingCalls  map[uint64]func(any)
+	lastCallID    uint64
+	callCounts    map[string]int // calls by kind since they were last logged
+	nextCallLogAt time.Duration
+	rng           *rand.Rand
+
+	zones, teams, images, classes     nameIndex
+	imageGB                           []float64 // by image
+	types                             []MachineType
+	typeIndex                         nameIndex
+	catalogReadAt, catalogRequestedAt time.Duration
+	catalogPending                    bool
+	typesPending                      bool
+	typesRevision                     uint64
+	storedTypes                       string // the types the store holds, without their prices
+
+	shards   []*Shard // by zone
+	peers    []*Peer  // as in the settings
+	jobs     map[string]*Job
+	finished map[string]JobState // ended jobs; kept for ever
+
+	quotas         []*TeamQuota // by team
+	teamConfigs    []Team       // by team
+	underGuarantee []bool       // by team: it uses less than its guarantee
+
+	overloadedAt              time.Duration // when requests were last turned away here, 0: never
+	clockJumpAt               time.Duration // when it last went on after it had stood still, 0: never
+	isolatedUntil             time.Duration
+	cloudOKAt                 time.Duration // when the cloud last answered a listing
+	cloudBadSince             time.Duration
+	foreignHeartbeats         map[string]map[string]time.Duration // workers of others' parts, by zone
+	leaseID                   uint64
+	leaseRenewedAt            time.Duration // when the last good renewal was sent
+	leasePending              bool
+	leaseRetryAt              time.Duration
+	storeOKAt                 time.Duration // when a call that then succeeded was last sent
+	storeBadSince             time.Duration
+	storeSeen                 bool
+	shardWatch                watchState
+	jobWatch                  watchState
+	nextGossipAt              time.Duration
+	gossipSeq                 uint64
+	gossipSentAt              map[uint64]time.Duration // when my gossip of late was sent, by number
+	recentCancellations       []cancellationNotice
+	submissionQueue           []*submission
+	nextBatchAt               time.Duration
+	submissionsByJob          map[string]*submission
+	openQueries               map[string][]uint64 // users' questions by job, not yet compared
+	queryOrder                []string
+	openVerifications         int
+	nextVerifyAt              time.Duration
+	openCommits               int
+	nextListAt                time.Duration
+	listPending               bool
+	jobCounts                 map[string][]JobCounts
+	runTimeRatio              []float64 // observed over estimated run time, by class
+	fetchSecondsPerGB         map[int]float64
+	typesByClass              []classKinds // by class
+	nextTickAt                time.Duration
+	timers                    []timer
+	openProbes                int // calls to workers under way that make this owner known
+	budgetShare               BudgetShare
+	nextShareAt               time.Duration
+	callsSinceShare, callRate BudgetShare // calls made since shareAt, and by the second of late
+	stats                     Stats
+}
+
+// Stats are counters for the operators. Their JSON names are part of GET /status.
 type Stats struct {
-	Placed, Finished, Requeued, Stopped, Failed, Hired, Returned, Moves, Conflicts, Plans uint64
-	FetchSeconds, FetchGB                                                                 float64
-}
-
-// cloudSaid notes whether the cloud answers.
-func (c *Core) cloudSaid(ok bool) {
+	Placed       uint64  `json:"Placed"`
+	Finished     uint64  `json:"Finished"`
+	Requeued     uint64  `json:"Requeued"`
+	Preempted    uint64  `json:"Stopped"`
+	Failed       uint64  `json:"Failed"`
+	Rented       uint64  `json:"Hired"`
+	Returned     uint64  `json:"Returned"`
+	Rebalanced   uint64  `json:"Moves"`
+	Conflicts    uint64  `json:"Conflicts"`
+	Plans        uint64  `json:"Plans"`
+	FetchSeconds float64 `json:"FetchSeconds"`
+	FetchGB      float64 `json:"FetchGB"`
+}
+
+// recordCloudOutcome notes whether the cloud answers.
+func (c *Core) recordCloudOutcome(ok bool) {
 	if ok {
-		c.cloudOK, c.cloudBadSince = c.now, 0
+		c.cloudOKAt, c.cloudBadSince = c.now, 0
 	} else if c.cloudBadSince == 0 {
 		c.cloudBadSince = c.now
 	}
 }
 
-// view is how far this controller has followed a prefix of the store.
-type view struct {
-	prefix  string
-	loaded  bool
-	busy    bool
-	ledger  uint64
-	fresh   time.Duration // everything before this moment is known
-	since   time.Duration // everything after this moment up to fresh is known
-	started bool          // fresh is meaningful
-	nextAt  time.Duration
+// watchState is how far this controller has followed a prefix of the store.
+type watchState struct {
+	prefix     string
+	loaded     bool
+	pending    bool
+	revision   uint64
+	knownUntil time.Duration // everything before this moment is known
+	knownFrom  time.Duration // everything after this moment up to fresh is known
+	hasData    bool          // fresh is meaningful
+	nextCallAt time.Duration
 }
 
 // New makes a controller that owns nothing yet.
 func New(cfg Config) *Core {
 	c := &Core{
-		cfg: cfg, calls: map[uint64]func(any){}, asked: map[string]int{},
-		rng:  rand.New(rand.NewPCG(cfg.Seed, cfg.Boot)),
-		jobs: map[string]*job{}, final: map[string]Standing{}, batching: map[string]*submission{}, asking: map[string][]uint64{},
-		shown: map[string][]Shown{}, heard: map[string]map[string]time.Duration{}, sentAt: map[uint64]time.Duration{}, sPerGB: map[int]float64{},
-		partsView: view{prefix: "part/"}, jobsView: view{prefix: "job/"},
-	}
-	c.cfg.Knobs = cfg.Knobs.InForce(cfg.Report, cfg.Lease)
-	c.gossipSeq = cfg.Boot << 32 // no number of an earlier life comes again
+		cfg: cfg, pendingCalls: map[uint64]func(any){}, callCounts: map[string]int{},
+		rng:  rand.New(rand.NewPCG(cfg.Seed, cfg.Epoch)),
+		jobs: map[string]*Job{}, finished: map[string]JobState{}, submissionsByJob: map[string]*submission{}, openQueries: map[string][]uint64{},
+		jobCounts: map[string][]JobCounts{}, foreignHeartbeats: map[string]map[string]time.Duration{}, gossipSentAt: map[uint64]time.Duration{}, fetchSecondsPerGB: map[int]float64{},
+		shardWatch: watchState{prefix: "part/"}, jobWatch: watchState{prefix: "job/"},
+	}
+	c.cfg.Tuning = cfg.Tuning.Effective(cfg.HeartbeatInterval, cfg.WorkerLease)
+	c.gossipSeq = cfg.Epoch << 32 // no number of an earlier life comes again
 	for _, z := range cfg.Zones {
-		c.zone(z)
+		c.zoneIndex(z)
 	}
 	for _, t := range cfg.Teams {
-		c.teams.of(t.Name)
-		c.quotas = append(c.quotas, &quota{team: t.Name, asks: map[int]heardAsk{}})
-		c.limits = append(c.limits, t)
+		c.teams.indexOf(t.Name)
+		c.quotas = append(c.quotas, &TeamQuota{team: t.Name, requests: map[int]receivedRequest{}})
+		c.teamConfigs = append(c.teamConfigs, t)
 	}
-	c.within = make([]bool, len(c.limits))
+	c.underGuarantee = make([]bool, len(c.teamConfigs))
 	for _, p := range cfg.Peers {
-		c.peers = append(c.peers, &peer{Peer: p, heard: -time.Hour})
+		c.peers = append(c.peers, &Peer{PeerConfig: p, lastHeardAt: -time.Hour})
 	}
 	return c
 }
@@ -181,309 +191,309 @@
 // Handle feeds one event at the given time and returns what is to be done.
 // The slice is valid until the next call.
 func (c *Core) Handle(now time.Duration, event any) []any {
-	c.pass(now)
-	c.out = c.out[:0]
+	c.advanceClock(now)
+	c.effects = c.effects[:0]
 	switch e := event.(type) {
 	case Tick:
-	case Answer:
-		if then := c.calls[e.ID]; then != nil {
-			delete(c.calls, e.ID)
+	case CallResult:
+		if then := c.pendingCalls[e.CallID]; then != nil {
+			delete(c.pendingCalls, e.CallID)
 			then(e.Result)
 		}
-	case Submit:
-		c.submit(e)
-	case Poll:
-		c.poll(e)
-	case Withdraw:
-		c.withdraw(e)
-	case Beat:
-		c.beat(e)
+	case JobSubmission:
+		c.handleSubmission(e)
+	case JobQuery:
+		c.handleQuery(e)
+	case JobCancellation:
+		c.handleCancellation(e)
+	case Heartbeat:
+		c.handleHeartbeat(e)
 	case PeerMessage:
-		c.hear(e.From, e.Message)
+		c.handlePeerMessage(e.From, e.Message)
 	case Overloaded:
 		c.overloadedAt = c.now
 	}
-	return c.out
+	return c.effects
 }
 
-// Settle does the work that is due after a batch of events: leases, views,
+// Advance does the work that is due after a batch of events: leases, views,
 // plans and commits. The slice is valid until the next call.
-func (c *Core) Settle(now time.Duration) []any {
-	c.pass(now)
-	c.out = c.out[:0]
+func (c *Core) Advance(now time.Duration) []any {
+	c.advanceClock(now)
+	c.effects = c.effects[:0]
 	c.flushSubmissions()
-	c.flushPolls()
-	if c.now >= c.tickAt {
-		c.tickAt = c.now + 100*time.Millisecond
-		c.ring()
-		c.keepLease()
-		c.follow(&c.partsView)
-		c.follow(&c.jobsView)
-		c.keepCatalog()
-		c.keepParts()
-		c.keepHosts()
-		c.gossip()
-		c.keepShare()
-		c.noteCalls()
-	}
-	for _, p := range c.parts {
-		if p.mine && p.loaded {
-			c.work(p)
+	c.flushQueries()
+	if c.now >= c.nextTickAt {
+		c.nextTickAt = c.now + 100*time.Millisecond
+		c.runTimers()
+		c.maintainLease()
+		c.watch(&c.shardWatch)
+		c.watch(&c.jobWatch)
+		c.refreshCatalog()
+		c.maintainShards()
+		c.maintainHosts()
+		c.sendGossip()
+		c.updateBudgetShare()
+		c.logCallCounts()
+	}
+	for _, shard := range c.shards {
+		if shard.owned && shard.loaded {
+			c.runShard(shard)
 		}
 	}
-	return c.out
+	return c.effects
 }
 
-// stoodStill is the gap between two looks at the world, which come every few
+// clockJumpGap is the gap between two looks at the world, which come every few
 // hundredths of a second, that can only mean that the process did not run.
-const stoodStill = time.Second
+const clockJumpGap = time.Second
 
-// pass lets time pass.
-func (c *Core) pass(now time.Duration) {
+// advanceClock lets time pass.
+func (c *Core) advanceClock(now time.Duration) {
 	if now <= c.now {
 		return
 	}
 	gap := now - c.now
 	first := c.now == 0
 	c.now = now
-	if !first && gap > stoodStill {
-		c.woke(gap)
+	if !first && gap > clockJumpGap {
+		c.handleClockJump(gap)
 	}
 }
 
-// woke draws conclusions from time that has passed anew: while this controller
+// handleClockJump draws conclusions from time that has passed anew: while this controller
 // stood still its clock ran on, but it read nothing. Nobody was silent to it in
 // that time, no machine overdue and none idle. What rests on what others did
 // meanwhile needs no word here: leases of workers run out by their own clocks, and
 // whoever took a part has changed the keys that guard every transaction.
-func (c *Core) woke(gap time.Duration) {
-	c.wokeAt = c.now
-	c.note(2, "stood still", "for", seconds(gap))
-	for _, p := range c.parts {
-		if !p.mine {
+func (c *Core) handleClockJump(gap time.Duration) {
+	c.clockJumpAt = c.now
+	c.log(2, "stood still", "for", seconds(gap))
+	for _, shard := range c.shards {
+		if !shard.owned {
 			continue
 		}
-		p.heardAt += gap
-		p.homeUp = 0
-		for i := range p.demand {
-			p.demand[i].at += gap
+		shard.lastHeartbeatAt += gap
+		shard.homeWellSince = 0
+		for i := range shard.demandSamples {
+			shard.demandSamples[i].at += gap
 		}
-		for _, h := range p.hosts {
-			h.unread += gap
-			h.unheard = 0 // calls that it never read the answers of prove nothing
-			h.giveUp += gap
-			h.idleSince += gap
+		for _, host := range shard.hosts {
+			host.notListening += gap
+			host.unansweredCalls = 0 // calls that it never read the answers of prove nothing
+			host.giveUpAt += gap
+			host.idleSince += gap
 		}
 	}
 }
 
-// overloaded says whether requests were turned away or dropped here lately. Until every
+// isOverloaded says whether requests were turned away or dropped here lately. Until every
 // worker has had time to try twice more, silence speaks against nobody, and neither do
 // calls that were not answered: an owner that had too little of its processor for its
 // machines gave thousands of them back that were well.
-func (c *Core) overloaded() bool {
-	return c.overloadedAt > 0 && c.now < c.overloadedAt+2*c.cfg.Report+5*time.Second
+func (c *Core) isOverloaded() bool {
+	return c.overloadedAt > 0 && c.now < c.overloadedAt+2*c.cfg.HeartbeatInterval+5*time.Second
 }
 
-// sure says whether the state service has confirmed this controller's lease
+// leaseConfirmed says whether the state service has confirmed this controller's lease
 // since it last stood still. Before that its parts may long be others', and it
 // neither returns nor hires machines for them.
-func (c *Core) sure() bool { return c.leaseSent >= c.wokeAt }
+func (c *Core) leaseConfirmed() bool { return c.leaseRenewedAt >= c.clockJumpAt }
 
-func (c *Core) emit(e any) { c.out = append(c.out, e) }
+func (c *Core) emit(e any) { c.effects = append(c.effects, e) }
 
-func (c *Core) note(level int, text string, args ...any) {
-	c.emit(Note{level, text, args})
+func (c *Core) log(level int, text string, args ...any) {
+	c.emit(LogEvent{level, text, args})
 }
 
 // call asks for something outside; then runs with its result.
 func (c *Core) call(op any, then func(any)) {
-	c.callSeq++
-	c.calls[c.callSeq] = then
-	c.asked[reflect.TypeOf(op).Name()]++
+	c.lastCallID++
+	c.pendingCalls[c.lastCallID] = then
+	c.callCounts[reflect.TypeOf(op).Name()]++
 	switch op := op.(type) {
-	case CommitOp:
-		c.wanted.Requests++
-		c.wanted.Changes += float64(len(op.Txn.Apply))
-	case ReadOp, ListOp, FollowOp, HoldOp, RenewOp:
-		c.wanted.Requests++
+	case CommitTxn:
+		c.callsSinceShare.Requests++
+		c.callsSinceShare.Changes += float64(len(op.Txn.Mutations))
+	case ReadKey, ListKeys, WatchKeys, GrantLease, RenewLease:
+		c.callsSinceShare.Requests++
 	}
-	c.emit(Call{c.callSeq, op})
+	c.emit(Call{c.lastCallID, op})
 }
 
 // timer is something to do later.
 type timer struct {
-	at time.Duration
-	f  func()
+	at  time.Duration
+	run func()
 }
 
 // after does f at the first tick after d.
 func (c *Core) after(d time.Duration, f func()) { c.timers = append(c.timers, timer{c.now + d, f}) }
 
-// ring does what is due.
-func (c *Core) ring() {
+// runTimers does what is due.
+func (c *Core) runTimers() {
 	due := c.timers
 	c.timers = nil
 	for _, t := range due {
 		if c.now >= t.at {
-			t.f()
+			t.run()
 		} else {
 			c.timers = append(c.timers, t)
 		}
 	}
 }
 
-// noteCalls logs what was asked of the outside lately.
-func (c *Core) noteCalls() {
-	if c.now < c.askedAt {
+// logCallCounts logs what was asked of the outside lately.
+func (c *Core) logCallCounts() {
+	if c.now < c.nextCallLogAt {
 		return
 	}
-	c.askedAt = c.now + 15*time.Second
-	args := []any{"share", c.share.Requests}
-	for _, k := range sorted(c.asked) {
-		args = append(args, strings.ToLower(strings.TrimSuffix(k, "Op")), c.asked[k])
+	c.nextCallLogAt = c.now + 15*time.Second
+	args := []any{"share", c.budgetShare.Requests}
+	for _, k := range sorted(c.callCounts) {
+		args = append(args, strings.ToLower(strings.TrimSuffix(k, "Op")), c.callCounts[k])
 	}
-	clear(c.asked)
-	c.note(1, "calls in 15 s", args...)
+	clear(c.callCounts)
+	c.log(1, "calls in 15 s", args...)
 }
 
-// keepShare divides the budgets. Of the cloud's calls most go to owners, by
+// updateBudgetShare divides the budgets. Of the cloud's calls most go to owners, by
 // parts. Of the state service's requests and changes a portion goes to all
 // alike and the rest by what each needed lately, as its gossip says: users bunch
 // at one controller, and an owner's work comes in bursts. By one rule on nearly
 // one view the shares hardly add up to more than all of it; where they do, a
 // refused call is repeated.
-func (c *Core) keepShare() {
-	if c.now < c.shareAt {
+func (c *Core) updateBudgetShare() {
+	if c.now < c.nextShareAt {
 		return
 	}
-	c.shareAt = c.now + 500*time.Millisecond
+	c.nextShareAt = c.now + 500*time.Millisecond
 	// The mean of some seconds, so that a burst counts at once and is not
 	// forgotten at once.
-	c.wants.Requests += 0.2 * (2*c.wanted.Requests - c.wants.Requests)
-	c.wants.Changes += 0.2 * (2*c.wanted.Changes - c.wants.Changes)
-	c.wanted = Share{}
-	mine := Share{Requests: c.wants.Requests + 1, Changes: c.wants.Changes + 1}
+	c.callRate.Requests += 0.2 * (2*c.callsSinceShare.Requests - c.callRate.Requests)
+	c.callRate.Changes += 0.2 * (2*c.callsSinceShare.Changes - c.callRate.Changes)
+	c.callsSinceShare = BudgetShare{}
+	mine := BudgetShare{Requests: c.callRate.Requests + 1, Changes: c.callRate.Changes + 1}
 	sum := mine
-	for _, q := range c.peers {
-		if q.gossip != nil && c.now < q.gossipAt+3*time.Second {
-			sum.Requests += q.gossip.Wants.Requests + 1
-			sum.Changes += q.gossip.Wants.Changes + 1
+	for _, peer := range c.peers {
+		if peer.gossip != nil && c.now < peer.gossipAt+3*time.Second {
+			sum.Requests += peer.gossip.CallRate.Requests + 1
+			sum.Changes += peer.gossip.CallRate.Changes + 1
 		}
 	}
 	owned := 0
-	for _, p := range c.parts {
-		if p.mine || p.claiming {
+	for _, shard := range c.shards {
+		if shard.owned || shard.claiming {
 			owned++
 		}
 	}
 	all, parts := 1/float64(1+len(c.peers)), 0.0
-	if len(c.parts) > 0 {
-		parts = float64(owned) / float64(len(c.parts))
+	if len(c.shards) > 0 {
+		parts = float64(owned) / float64(len(c.shards))
 	}
-	s := Share{Requests: 0.3*all + 0.7*mine.Requests/sum.Requests, Changes: 0.25*all + 0.75*mine.Changes/sum.Changes,
+	s := BudgetShare{Requests: 0.3*all + 0.7*mine.Requests/sum.Requests, Changes: 0.25*all + 0.75*mine.Changes/sum.Changes,
 		Calls: 0.2*all + 0.8*parts}
-	if s != c.share {
-		c.share = s
+	if s != c.budgetShare {
+		c.budgetShare = s
 		c.emit(s)
 	}
 }
 
-// store notes whether the state service answers.
-func (c *Core) store(sent time.Duration, ok bool) {
+// recordStoreOutcome notes whether the state service answers.
+func (c *Core) recordStoreOutcome(sent time.Duration, ok bool) {
 	if ok {
-		c.storeOK, c.storeSeen, c.storeBadSince = max(c.storeOK, sent), true, 0
+		c.storeOKAt, c.storeSeen, c.storeBadSince = max(c.storeOKAt, sent), true, 0
 	} else if c.storeBadSince == 0 {
 		c.storeBadSince = c.now
 	}
 }
 
-func (c *Core) read(key string, urgent bool, then func(ReadResult)) {
+func (c *Core) readKey(key string, urgent bool, then func(ReadResult)) {
 	sent := c.now
-	c.call(ReadOp{key, urgent}, func(r any) {
+	c.call(ReadKey{key, urgent}, func(r any) {
 		res := r.(ReadResult)
-		c.store(sent, res.Outcome == OK)
+		c.recordStoreOutcome(sent, res.Outcome == OutcomeOK)
 		then(res)
 	})
 }
 
 func (c *Core) commit(t Txn, urgent bool, then func(CommitResult)) {
-	c.commitOp(CommitOp{Txn: t, Urgent: urgent}, then)
+	c.commitWith(CommitTxn{Txn: t, Urgent: urgent}, then)
 }
 
-func (c *Core) commitOp(op CommitOp, then func(CommitResult)) {
+func (c *Core) commitWith(op CommitTxn, then func(CommitResult)) {
 	sent := c.now
 	c.call(op, func(r any) {
 		res := r.(CommitResult)
-		c.store(sent, res.Outcome == OK || res.Outcome == Refused)
+		c.recordStoreOutcome(sent, res.Outcome == OutcomeOK || res.Outcome == OutcomeRefused)
 		then(res)
 	})
 }
 
-// zone returns the index of a zone and makes its part when it is new.
-func (c *Core) zone(name string) int {
-	z := c.zones.of(name)
-	for len(c.parts) <= z {
-		c.parts = append(c.parts, newPart(len(c.parts), c.zones.list[len(c.parts)]))
+// zoneIndex returns the index of a zone and makes its part when it is new.
+func (c *Core) zoneIndex(name string) int {
+	z := c.zones.indexOf(name)
+	for len(c.shards) <= z {
+		c.shards = append(c.shards, newShard(len(c.shards), c.zones.names[len(c.shards)]))
 	}
 	return z
 }
 
-// keepCatalog refreshes the machine types and their prices.
-func (c *Core) keepCatalog() {
+// refreshCatalog refreshes the machine types and their prices.
+func (c *Core) refreshCatalog() {
 	wait := 30 * time.Second
 	if len(c.types) == 0 {
 		wait = time.Second
 	}
-	if c.catalogBusy || c.catalogAsked > 0 && c.now < c.catalogAsked+wait {
+	if c.catalogPending || c.catalogRequestedAt > 0 && c.now < c.catalogRequestedAt+wait {
 		return
 	}
-	c.catalogBusy, c.catalogAsked = true, c.now
-	c.call(CatalogOp{}, func(r any) {
-		c.catalogBusy = false
+	c.catalogPending, c.catalogRequestedAt = true, c.now
+	c.call(ReadCatalog{}, func(r any) {
+		c.catalogPending = false
 		res := r.(CatalogResult)
-		c.cloudSaid(res.Outcome == OK)
-		if res.Outcome != OK || len(res.Types) == 0 {
+		c.recordCloudOutcome(res.Outcome == OutcomeOK)
+		if res.Outcome != OutcomeOK || len(res.Types) == 0 {
 			return
 		}
-		c.learnTypes(res.Types)
-		c.catalogAt = c.now
+		c.addMachineTypes(res.Types)
+		c.catalogReadAt = c.now
 		c.storeTypes()
 	})
-	if len(c.types) == 0 && !c.typesBusy {
-		c.readTypes()
+	if len(c.types) == 0 && !c.typesPending {
+		c.readStoredTypes()
 	}
 }
 
-func (c *Core) learnTypes(types []MachineType) {
+func (c *Core) addMachineTypes(types []MachineType) {
 	for _, t := range types {
-		i := c.typeIdx.of(t.Name)
+		i := c.typeIndex.indexOf(t.Name)
 		for len(c.types) <= i {
 			c.types = append(c.types, MachineType{})
 		}
 		c.types[i] = t
 		for _, z := range t.Zones {
-			c.zone(z)
+			c.zoneIndex(z)
 		}
 	}
 }
 
-// typesKey holds the machine types as the cloud last told them. A controller
+// machineTypesKey holds the machine types as the cloud last told them. A controller
 // that starts while the cloud is out of reach would otherwise know of none and
 // could take no request until the cloud is back.
-const typesKey = "types"
+const machineTypesKey = "types"
 
-func (c *Core) readTypes() {
-	c.typesBusy = true
-	c.read(typesKey, true, func(res ReadResult) {
-		c.typesBusy = false
-		if res.Outcome != OK {
+func (c *Core) readStoredTypes() {
+	c.typesPending = true
+	c.readKey(machineTypesKey, true, func(res ReadResult) {
+		c.typesPending = false
+		if res.Outcome != OutcomeOK {
 			return
 		}
 		var types []MachineType
-		if c.typesStamp = res.Item.Stamp; res.Found && json.Unmarshal(res.Item.Value, &types) == nil && len(c.types) == 0 {
-			c.learnTypes(types)
-			c.typesKept = plainTypes(types)
+		if c.typesRevision = res.Item.Revision; res.Found && json.Unmarshal(res.Item.Value, &types) == nil && len(c.types) == 0 {
+			c.addMachineTypes(types)
+			c.storedTypes = typesWithoutPrices(types)
 		}
 	})
 }
@@ -491,33 +501,33 @@
 // storeTypes writes the types down when they are others than those kept there.
 // Prices change all the time and do not count.
 func (c *Core) storeTypes() {
-	plain := plainTypes(c.types)
-	if c.typesBusy || c.typesKept == plain || !c.storeWell() {
+	plain := typesWithoutPrices(c.types)
+	if c.typesPending || c.storedTypes == plain || !c.storeReachable() {
 		return
 	}
-	c.typesBusy = true
+	c.typesPending = true
 	value, _ := json.Marshal(c.types)
-	t := Txn{Guards: []Guard{{typesKey, c.typesStamp}}, Apply: []Set{{Key: typesKey, Value: value}}}
+	t := Txn{Conditions: []Condition{{machineTypesKey, c.typesRevision}}, Mutations: []Mutation{{Key: machineTypesKey, Value: value}}}
 	c.commit(t, false, func(res CommitResult) {
-		c.typesBusy = false
+		c.typesPending = false
 		switch res.Outcome {
-		case OK:
-			c.typesStamp, c.typesKept = res.Revision, plain
-		case Refused, Unknown:
-			c.typesBusy = true
-			c.read(typesKey, false, func(r ReadResult) {
-				c.typesBusy = false
+		case OutcomeOK:
+			c.typesRevision, c.storedTypes = res.Revision, plain
+		case OutcomeRefused, OutcomeUnknown:
+			c.typesPending = true
+			c.readKey(machineTypesKey, false, func(r ReadResult) {
+				c.typesPending = false
 				var types []MachineType
-				if r.Outcome == OK && json.Unmarshal(r.Item.Value, &types) == nil {
-					c.typesStamp, c.typesKept = r.Item.Stamp, plainTypes(types)
+				if r.Outcome == OutcomeOK && json.Unmarshal(r.Item.Value, &types) == nil {
+					c.typesRevision, c.storedTypes = r.Item.Revision, typesWithoutPrices(types)
 				}
 			})
 		}
 	})
 }
 
-// plainTypes is what of machine types counts when they are compared.
-func plainTypes(types []MachineType) string {
+// typesWithoutPrices is what of machine types counts when they are compared.
+func typesWithoutPrices(types []MachineType) string {
 	plain := slices.Clone(types)
 	for i := range plain {
 		plain[i].Price, plain[i].SpotPrice = 0, 0
@@ -527,8 +537,8 @@
 	return string(b)
 }
 
-// kind is the dense index of a machine's zone, type and kind.
-func (c *Core) kind(zone, typ int, spot bool) int {
+// kindIndex is the dense index of a machine's zone, type and kind.
+func (c *Core) kindIndex(zone, typ int, spot bool) int {
 	k := (zone*len(c.types) + typ) * 2
 	if spot {
 		k++
@@ -536,10 +546,12 @@
 	return k
 }
 
-func (a Amount) plan() plan.Amount { return plan.Amount{Cores: a.Cores, Cards: a.Cards, Mem: a.Mem} }
+func (a Resources) plan() plan.Amount {
+	return plan.Amount{Cores: a.Cores, Cards: a.GPUs, Mem: a.MemoryGB}
+}
 
-func (a Amount) plus(b Amount, times float64) Amount {
-	return Amount{a.Cores + b.Cores*times, a.Cards + b.Cards*times, a.Mem + b.Mem*times}
+func (a Resources) plus(b Resources, times float64) Resources {
+	return Resources{a.Cores + b.Cores*times, a.GPUs + b.GPUs*times, a.MemoryGB + b.MemoryGB*times}
 }
 
 func seconds(d time.Duration) float64 { return d.Seconds() }
@@ -551,9 +563,9 @@
 	return time.Duration(min(max(s, -most), most) * float64(time.Second))
 }
 
-// count is a number of tasks as a whole number; what tiny amounts make of it must not
+// wholeTasks is a number of tasks as a whole number; what tiny amounts make of it must not
 // run over.
-func count(x float64) int {
+func wholeTasks(x float64) int {
 	const most = 1 << 30
 	if x < most {
 		return int(max(x, -most))
@@ -569,11 +581,11 @@
 	if !c.storeSeen || len(c.types) == 0 {
 		return false
 	}
-	if c.now < c.storeOK+2500*time.Millisecond || c.storeBadSince == 0 {
+	if c.now < c.storeOKAt+2500*time.Millisecond || c.storeBadSince == 0 {
 		return true
 	}
-	for _, p := range c.peers {
-		if p.gossip != nil && c.now < p.gossipAt+2*time.Second && p.gossip.StoreOK {
+	for _, peer := range c.peers {
+		if peer.gossip != nil && c.now < peer.gossipAt+2*time.Second && peer.gossip.StoreOK {
 			return false
 		}
 	}
--- a/internal/core/dealing.go
+++ b/internal/core/dealing.go
@@ -9,126 +9,126 @@
 	"roadcleat/internal/plan"
 )
 
-// mostAlike bounds how many machines of a kind a peer's word is believed for in a zone.
-const mostAlike = 50_000
+// maxHostsPerGroup bounds how many machines of a kind a peer's word is believed for in a zone.
+const maxHostsPerGroup = 50_000
 
-// viewDevices is another part's machines by its owner's last word.
-func (c *Core) viewDevices(p *part) []device {
-	if p.devices != nil || p.view == nil || c.now > p.viewAt+10*time.Second {
-		return p.devices
+// reportedDevices is another part's machines by its owner's last word.
+func (c *Core) reportedDevices(shard *Shard) []device {
+	if shard.devices != nil || shard.view == nil || c.now > shard.viewAt+10*time.Second {
+		return shard.devices
 	}
-	now := seconds(p.viewAt)
+	now := seconds(shard.viewAt)
 	nth := make([]float64, len(c.types)) // machines of a type so far
-	for i := range p.view.Hosts {
-		v := &p.view.Hosts[i]
-		typ := c.typeIdx.known(v.Type)
+	for i := range shard.view.Hosts {
+		v := &shard.view.Hosts[i]
+		typ := c.typeIndex.lookup(v.Type)
 		if typ < 0 {
 			continue
 		}
-		for range min(v.Count, mostAlike) {
-			d := &plan.Device{Kind: c.kind(p.zone, typ, v.Spot), Total: c.types[typ].Total.plan(), Up: now + v.Up,
-				SPerGB: c.fetchRate(typ), Slow: 1, FetchAt: now + v.FetchAt}
-			if v.Used.Cores > 0 || v.Used.Cards > 0 {
-				d.Uses = append(make([]plan.Use, 0, 4), plan.Use{Start: 0, End: now + v.For, Amount: v.Used.plan()})
+		for range min(v.Count, maxHostsPerGroup) {
+			d := &plan.Device{Kind: c.kindIndex(shard.zone, typ, v.Spot), Total: c.types[typ].Capacity.plan(), Up: now + v.ReadyInSeconds,
+				SPerGB: c.fetchRate(typ), Slow: 1, FetchAt: now + v.FetchingSeconds}
+			if v.Used.Cores > 0 || v.Used.GPUs > 0 {
+				d.Uses = append(make([]plan.Use, 0, 4), plan.Use{Start: 0, End: now + v.BusySeconds, Amount: v.Used.plan()})
 			}
-			if v.Up == 0 {
+			if v.ReadyInSeconds == 0 {
 				// Which machines hold an image is not told, only how many do: it
 				// is dealt out evenly.
 				nth[typ]++
-				for _, s := range p.view.Images {
+				for _, s := range shard.view.Images {
 					if s.Type == v.Type && math.Floor(nth[typ]*s.Share) > math.Floor((nth[typ]-1)*s.Share) {
-						d.Images = append(d.Images, plan.Held{Image: c.images.of(s.Image)})
+						d.Images = append(d.Images, plan.Held{Image: c.images.indexOf(s.Image)})
 					}
 				}
 			}
-			p.devices = append(p.devices, device{d, p.zone, nil})
+			shard.devices = append(shard.devices, device{d, shard.zone, nil})
 		}
 	}
-	return p.devices
+	return shard.devices
 }
 
-// partDevices is a part's machines: by own knowledge, or by its owner's word.
-func (c *Core) partDevices(p *part) []device {
-	if !p.mine || !p.loaded {
-		return c.viewDevices(p)
+// shardDevices is a part's machines: by own knowledge, or by its owner's word.
+func (c *Core) shardDevices(shard *Shard) []device {
+	if !shard.owned || !shard.loaded {
+		return c.reportedDevices(shard)
 	}
-	if p.devices == nil || c.now > p.devicesAt+500*time.Millisecond {
-		p.devices, p.devicesAt = nil, c.now
-		for _, h := range p.hostList() {
-			if h.planned(c.now) {
-				p.devices = append(p.devices, c.hostDevice(h, true))
+	if shard.devices == nil || c.now > shard.devicesAt+500*time.Millisecond {
+		shard.devices, shard.devicesAt = nil, c.now
+		for _, host := range shard.hostList() {
+			if host.countsForPlans(c.now) {
+				shard.devices = append(shard.devices, c.hostDevice(host, true))
 			}
 		}
 	}
-	return p.devices
+	return shard.devices
 }
 
-// deal splits a new job over the parts: each task to the part of its
+// distribute splits a new job over the parts: each task to the part of its
 // earliest-finish machine, as the job's limits on zones allow.
-func (c *Core) deal(spec *Spec) map[string]ranges {
-	j := &job{id: spec.ID, spec: *spec, image: -1, class: c.classes.of(spec.Class), team: c.teams.known(spec.Team)}
+func (c *Core) distribute(spec *JobSpec) map[string]taskRanges {
+	job := &Job{id: spec.ID, spec: *spec, image: -1, class: c.classes.indexOf(spec.Class), team: c.teams.lookup(spec.Team)}
 	if spec.Image != "" {
-		j.image = c.imageOf(spec)
+		job.image = c.imageIndex(spec)
 	}
-	step := c.step(j)
-	plain, queues := step.Cost, make([]float64, len(c.parts)*len(c.types))
-	for z, p := range c.parts {
-		copy(queues[z*len(c.types):], c.queueFor(p, spec.Priority))
+	step := c.planStep(job)
+	plain, queues := step.Cost, make([]float64, len(c.shards)*len(c.types))
+	for z, p := range c.shards {
+		copy(queues[z*len(c.types):], c.queueSeconds(p, spec.Priority))
 	}
-	if c.backfills(j) {
-		for z, p := range c.parts {
+	if c.isBackfill(job) {
+		for z, shard := range c.shards {
 			for t := range c.types {
-				if c.backfillRoomOn(p, t) < c.takes(spec.Need, t) {
-					queues[z*len(c.types)+t] += fullCost
+				if c.backfillRoomOn(shard, t) < c.coresTaken(spec.Need, t) {
+					queues[z*len(c.types)+t] += noBackfillRoomCost
 				}
 			}
 		}
 	}
 	step.Cost = func(kind int) float64 { return plain(kind) + queues[kind/2] }
-	byZone := make([][]device, len(c.parts))
+	byZone := make([][]device, len(c.shards))
 	have := c.rentedMachines()
-	for z, p := range c.parts {
-		if spec.Zone != "" && p.name != spec.Zone || !c.zoneHolds(j, p) {
+	for z, shard := range c.shards {
+		if spec.Zone != "" && shard.name != spec.Zone || !c.zoneHolds(job, shard) {
 			continue
 		}
-		byZone[z] = c.partDevices(p)
-		byZone[z] = append(byZone[z][:len(byZone[z]):len(byZone[z])], c.market(p, j, queues[z*len(c.types):], have)...)
+		byZone[z] = c.shardDevices(shard)
+		byZone[z] = append(byZone[z][:len(byZone[z]):len(byZone[z])], c.rentableDevices(shard, job, queues[z*len(c.types):], have)...)
 	}
-	counts := make([]int, len(c.parts))
+	counts := make([]int, len(c.shards))
 	now := seconds(c.now)
 	if spec.OneZone || spec.Gang {
 		// A gang is placed in one transaction of one owner, so it stays together.
 		counts[c.bestZone(step, spec.Tasks, byZone, now)] = spec.Tasks
 	} else {
 		most := spec.Tasks
-		if spec.Apart {
+		if spec.SpreadZones {
 			most = (spec.Tasks + 1) / 2
 		}
-		c.spreadOver(step, spec.Tasks, most, c.placedAtOnce(j), byZone, counts, now)
-		if spec.Tasks <= oneSlice && !spec.Apart {
-			together(counts)
+		c.spreadOver(step, spec.Tasks, most, c.maxPlacedAtOnce(job), byZone, counts, now)
+		if spec.Tasks <= singleShardTasks && !spec.SpreadZones {
+			mergeIntoLargest(counts)
 		}
 	}
-	fewParts(counts, c.cfg.TxnOps-1)
-	c.noteDealt(j, counts)
-	split := map[string]ranges{}
+	limitShards(counts, c.cfg.MaxTxnOps-1)
+	c.recordDistribution(job, counts)
+	split := map[string]taskRanges{}
 	at := 0
 	for z, n := range counts {
 		if n > 0 {
-			split[c.parts[z].name] = ranges{{at, at + n}}
+			split[c.shards[z].name] = taskRanges{{at, at + n}}
 			at += n
 		}
 	}
 	return split
 }
 
-// oneSlice is how many tasks a job may have to go to one part as a whole: each
+// singleShardTasks is how many tasks a job may have to go to one part as a whole: each
 // further part costs changes at the state service at its coming, and reads of
 // all slices at its end. What finds no room there moves later.
-const oneSlice = 40
+const singleShardTasks = 40
 
-// together gives all tasks to the part that has most of them.
-func together(counts []int) {
+// mergeIntoLargest gives all tasks to the part that has most of them.
+func mergeIntoLargest(counts []int) {
 	best, sum := 0, 0
 	for z, n := range counts {
 		if sum += n; n > counts[best] {
@@ -139,10 +139,10 @@
 	counts[best] = sum
 }
 
-// fewParts leaves tasks in at most so many parts: a job and its slices come into
+// limitShards leaves tasks in at most so many parts: a job and its slices come into
 // being in one transaction. The parts with the fewest tasks give them to those of
 // the others that have the fewest, so that tasks that must be apart stay so.
-func fewParts(counts []int, most int) {
+func limitShards(counts []int, most int) {
 	var used []int
 	for z, n := range counts {
 		if n > 0 {
@@ -162,20 +162,20 @@
 }
 
 // zoneHolds says whether the zone has a machine type that the job allows.
-func (c *Core) zoneHolds(j *job, p *part) bool {
+func (c *Core) zoneHolds(job *Job, shard *Shard) bool {
 	for t := range c.types {
 		typ := &c.types[t]
-		if contains(typ.Zones, p.name) && j.spec.Need.plan().Within(typ.Total.plan()) &&
-			c.allowedOn(j, c.kind(p.zone, t, false)) {
+		if contains(typ.Zones, shard.name) && job.spec.Need.plan().Within(typ.Capacity.plan()) &&
+			c.allowedOn(job, c.kindIndex(shard.zone, t, false)) {
 			return true
 		}
 	}
 	return false
 }
 
-// planned is how many tasks of a large job are dealt one by one; the rest
+// sampledTasks is how many tasks of a large job are dealt one by one; the rest
 // follows their proportions.
-const planned = 64
+const sampledTasks = 64
 
 func (c *Core) bestZone(step *plan.Step, n int, byZone [][]device, now float64) int {
 	best, at := -1, 0.0
@@ -187,14 +187,14 @@
 		for _, d := range ds {
 			devices = append(devices, d.Device)
 		}
-		sched := plan.Solve([]plan.Step{{Tasks: min(n, planned), Gang: step.Gang, Need: step.Need, Comp: step.Comp, Image: step.Image,
-			ImageGB: step.ImageGB, Allowed: step.Allowed}}, devices, now, c.cfg.Knobs.Frontier)
+		sched := plan.Solve([]plan.Step{{Tasks: min(n, sampledTasks), Gang: step.Gang, Need: step.Need, Comp: step.Comp, Image: step.Image,
+			ImageGB: step.ImageGB, Allowed: step.Allowed}}, devices, now, c.cfg.Tuning.Frontier)
 		if sched.Complete && (best < 0 || sched.Finish < at) {
 			best, at = z, sched.Finish
 		}
 	}
 	if best < 0 {
-		best = max(c.zones.known(c.cfg.Zone), 0)
+		best = max(c.zones.lookup(c.cfg.Zone), 0)
 		for z, ds := range byZone {
 			if len(ds) > 0 {
 				best = z
@@ -209,7 +209,7 @@
 	for z := range byZone {
 		open[z] = len(byZone[z]) > 0
 	}
-	left, sample := n, min(n, planned)
+	left, sample := n, min(n, sampledTasks)
 	for sample > 0 {
 		var devices []*plan.Device
 		var zones []int
--- a/internal/core/events.go
+++ b/internal/core/events.go
@@ -4,34 +4,34 @@
 
 import "time"
 
-// Amount is what a task takes of its machine.
-type Amount struct {
-	Cores float64 `json:"c,omitempty"`
-	Cards float64 `json:"g,omitempty"`
-	Mem   float64 `json:"m,omitempty"`
+// Resources is what a task takes of its machine.
+type Resources struct {
+	Cores    float64 `json:"c,omitempty"`
+	GPUs     float64 `json:"g,omitempty"`
+	MemoryGB float64 `json:"m,omitempty"`
 }
 
-// Spec is a job as its user described it.
-type Spec struct {
-	ID         string   `json:"-"`
-	Class      string   `json:"cl,omitempty"`
-	Team       string   `json:"te"`
-	Service    bool     `json:"sv,omitempty"`
-	Gang       bool     `json:"ga,omitempty"` // tasks run together or not at all
-	Priority   int      `json:"pr"`           // 0 is the most urgent
-	Tasks      int      `json:"n"`
-	Need       Amount   `json:"a"`
-	Types      []string `json:"ty,omitempty"`
-	Zone       string   `json:"z,omitempty"`
-	OneZone    bool     `json:"oz,omitempty"`
-	Apart      bool     `json:"ap,omitempty"`
-	Spot       bool     `json:"sp,omitempty"`
-	Image      string   `json:"im,omitempty"`
-	ImageGB    float64  `json:"gb,omitempty"`
-	Estimate   float64  `json:"es,omitempty"`
-	Checkpoint float64  `json:"cp,omitempty"`
-	Save       float64  `json:"sa,omitempty"`
-	Deadline   float64  `json:"dl,omitempty"`
+// JobSpec is a job as its user described it.
+type JobSpec struct {
+	ID                string    `json:"-"`
+	Class             string    `json:"cl,omitempty"`
+	Team              string    `json:"te"`
+	Service           bool      `json:"sv,omitempty"`
+	Gang              bool      `json:"ga,omitempty"` // tasks run together or not at all
+	Priority          int       `json:"pr"`           // 0 is the most urgent
+	Tasks             int       `json:"n"`
+	Need              Resources `json:"a"`
+	Types             []string  `json:"ty,omitempty"`
+	Zone              string    `json:"z,omitempty"`
+	OneZone           bool      `json:"oz,omitempty"`
+	SpreadZones       bool      `json:"ap,omitempty"`
+	Spot              bool      `json:"sp,omitempty"`
+	Image             string    `json:"im,omitempty"`
+	ImageGB           float64   `json:"gb,omitempty"`
+	EstimateSeconds   float64   `json:"es,omitempty"`
+	CheckpointSeconds float64   `json:"cp,omitempty"`
+	SaveSeconds       float64   `json:"sa,omitempty"`
+	DeadlineSeconds   float64   `json:"dl,omitempty"`
 }
 
 // TaskID names one task of a job.
@@ -42,26 +42,26 @@
 
 // States of a task on a machine, as a worker reports them.
 const (
-	Fetching  = iota + 1
-	Gathering // has its image and waits for the rest of its gang
-	Running
-	Saving
-	Ended
+	TaskFetching       = iota + 1
+	TaskWaitingForGang // has its image and waits for the rest of its gang
+	TaskRunning
+	TaskSaving
+	TaskExited
 )
 
 // Causes of a task's end.
 const (
-	Done = iota + 1
-	Stopped
-	Failed
-	NoRoom
-	InUse
-	NoSuch
-	Lonely // the rest of its gang did not come, or left
+	ExitDone = iota + 1
+	ExitStopped
+	ExitFailed
+	ExitNoRoom
+	ExitInUse
+	ExitNoSuchTask
+	ExitGangIncomplete // the rest of its gang did not come, or left
 )
 
-// Reported is one task in a worker's report.
-type Reported struct {
+// TaskStatus is one task in a worker's report.
+type TaskStatus struct {
 	Task    TaskID
 	Attempt uint64
 	State   int
@@ -69,38 +69,38 @@
 	Saved   bool
 }
 
-// Report is a worker's report.
-type Report struct {
-	Host, Addr, Type, Zone string
-	Spot                   bool
-	Session, Seq, Token    uint64
-	Notice                 float64 // seconds until the machine is taken, or negative
-	Tasks                  []Reported
+// WorkerStatus is a worker's report.
+type WorkerStatus struct {
+	Host, Address, Type, Zone string
+	Spot                      bool
+	Incarnation, Seq, Token   uint64
+	SpotNotice                float64 // seconds until the machine is taken, or negative
+	Tasks                     []TaskStatus
 }
 
 // Verbs of an order.
 const (
-	Launch = iota + 1
-	Halt
-	Clear
+	VerbLaunch = iota + 1
+	VerbStop
+	VerbForget
 )
 
-// Order is a command to a worker.
-type Order struct {
-	Verb    int
-	Task    TaskID
-	Attempt uint64
-	Leeway  float64
+// Command is a command to a worker.
+type Command struct {
+	Verb        int
+	Task        TaskID
+	Attempt     uint64
+	GracePeriod float64
 }
 
-// Guard is a condition of a transaction; stamp 0 means the key does not exist.
-type Guard struct {
-	Key   string
-	Stamp uint64
+// Condition is a condition of a transaction; stamp 0 means the key does not exist.
+type Condition struct {
+	Key      string
+	Revision uint64
 }
 
-// Set is one change of a transaction. A nil value deletes the key.
-type Set struct {
+// Mutation is one change of a transaction. A nil value deletes the key.
+type Mutation struct {
 	Key   string
 	Value []byte
 	Lease uint64
@@ -108,15 +108,15 @@
 
 // Txn is a transaction at the state service.
 type Txn struct {
-	Guards []Guard
-	Apply  []Set
+	Conditions []Condition
+	Mutations  []Mutation
 }
 
 // Item is a key as the state service holds it.
 type Item struct {
-	Key   string
-	Value []byte
-	Stamp uint64
+	Key      string
+	Value    []byte
+	Revision uint64
 }
 
 // Outcome of a call to something outside.
@@ -125,58 +125,58 @@
 // Outcomes: the call was carried out; it was answered but refused; it
 // certainly was not carried out; or nobody can tell.
 const (
-	Unknown Outcome = iota
-	OK
-	Refused
-	NotSent
+	OutcomeUnknown Outcome = iota
+	OutcomeOK
+	OutcomeRefused
+	OutcomeNotSent
 )
 
 // Calls to the outside. Each is answered by exactly one Answer whose Result
 // is the matching type below.
 type (
-	// CommitOp commits a transaction. Urgent calls go ahead of the others; one
+	// CommitTxn commits a transaction. Urgent calls go ahead of the others; one
 	// that spares leaves some of the budget to users' submissions.
-	CommitOp struct {
-		Txn           Txn
-		Urgent, Spare bool
+	CommitTxn struct {
+		Txn                Txn
+		Urgent, Background bool
 	}
-	// ReadOp reads a key.
-	ReadOp struct {
+	// ReadKey reads a key.
+	ReadKey struct {
 		Key    string
 		Urgent bool
 	}
-	// ListOp lists all keys with a prefix.
-	ListOp struct{ Prefix string }
-	// FollowOp waits for changes.
-	FollowOp struct {
-		Prefix string
-		After  uint64
-		Wait   time.Duration
+	// ListKeys lists all keys with a prefix.
+	ListKeys struct{ Prefix string }
+	// WatchKeys waits for changes.
+	WatchKeys struct {
+		Prefix        string
+		AfterRevision uint64
+		Timeout       time.Duration
 	}
-	// HoldOp asks for a lease.
-	HoldOp struct{ Life time.Duration }
-	// RenewOp renews it.
-	RenewOp struct{ Lease uint64 }
-	// CatalogOp reads the machine types.
-	CatalogOp struct{}
-	// HostsOp lists all machines.
-	HostsOp struct{}
-	// HireOp rents machines.
-	HireOp struct {
+	// GrantLease asks for a lease.
+	GrantLease struct{ TTL time.Duration }
+	// RenewLease renews it.
+	RenewLease struct{ Lease uint64 }
+	// ReadCatalog reads the machine types.
+	ReadCatalog struct{}
+	// ListHosts lists all machines.
+	ListHosts struct{}
+	// RentHosts rents machines.
+	RentHosts struct {
 		Name, Type, Zone string
 		Spot             bool
-		Number           int
+		Count            int
 	}
-	// ReturnOp gives machines back.
-	ReturnOp struct{ Hosts []string }
-	// OrdersOp sends orders straight to a worker.
-	OrdersOp struct {
-		Addr           string
-		Token, Session uint64
-		Orders         []Order
+	// ReturnHosts gives machines back.
+	ReturnHosts struct{ Hosts []string }
+	// SendCommands sends orders straight to a worker.
+	SendCommands struct {
+		Address            string
+		Token, Incarnation uint64
+		Commands           []Command
 	}
-	// ShowOp asks a worker for its report.
-	ShowOp struct{ Addr string }
+	// ReadWorkerStatus asks a worker for its report.
+	ReadWorkerStatus struct{ Address string }
 )
 
 // Results of the calls.
@@ -184,10 +184,10 @@
 	// CommitResult is OK with the revision, Refused with the keys that differ
 	// (or a lease that ended), NotSent or Unknown.
 	CommitResult struct {
-		Outcome  Outcome
-		Revision uint64
-		Failed   []string
-		NoLease  bool
+		Outcome      Outcome
+		Revision     uint64
+		FailedKeys   []string
+		LeaseExpired bool
 	}
 	// ReadResult is OK, with Found false for a key that does not exist.
 	ReadResult struct {
@@ -197,18 +197,18 @@
 	}
 	// ListResult holds all keys and the revision they were read at or after.
 	ListResult struct {
-		Outcome Outcome
-		Items   []Item
-		Ledger  uint64
+		Outcome  Outcome
+		Items    []Item
+		Revision uint64
 	}
-	// FollowResult holds changes; Refused means that After is too old.
-	FollowResult struct {
-		Outcome Outcome
-		Ledger  uint64
-		News    []Item // Value nil: deleted
+	// WatchResult holds changes; Refused means that After is too old.
+	WatchResult struct {
+		Outcome  Outcome
+		Revision uint64
+		Changes  []Item // Value nil: deleted
 	}
-	// HoldResult is a lease.
-	HoldResult struct {
+	// LeaseResult is a lease.
+	LeaseResult struct {
 		Outcome Outcome
 		Lease   uint64
 	}
@@ -222,10 +222,10 @@
 	// HostsResult is a whole listing.
 	HostsResult struct {
 		Outcome Outcome
-		Hosts   []Listed
+		Hosts   []ListedHost
 	}
-	// HireResult holds the machines rented; Refused means no capacity.
-	HireResult struct {
+	// RentResult holds the machines rented; Refused means no capacity.
+	RentResult struct {
 		Outcome Outcome
 		Hosts   []string
 	}
@@ -234,60 +234,62 @@
 	// WorkerResult is OK when executed, Refused on a token or session mismatch.
 	WorkerResult struct {
 		Outcome Outcome
-		Report  *Report
+		Status  *WorkerStatus
 	}
 )
 
 // MachineType is one row of the cloud's catalogue.
 type MachineType struct {
-	Name             string
-	Total            Amount
-	CacheGB, GBPerS  float64
-	Price, SpotPrice float64
-	BootS            float64
-	Zones            []string
+	Name             string    `json:"Name"`
+	Capacity         Resources `json:"Total"`
+	CacheGB          float64   `json:"CacheGB"`
+	FetchGBPerSecond float64   `json:"GBPerS"`
+	Price            float64   `json:"Price"`
+	SpotPrice        float64   `json:"SpotPrice"`
+	BootSeconds      float64   `json:"BootS"`
+	Zones            []string  `json:"Zones"`
 }
 
-// Listed is a machine in the cloud's list.
-type Listed struct {
-	Name, Addr, Type, Zone string
-	Spot                   bool
-	State                  string // booting, running or failed
-	HeldS                  float64
+// ListedHost is a machine in the cloud's list.
+type ListedHost struct {
+	Name, Address, Type, Zone string
+	Spot                      bool
+	State                     string // booting, running or failed
+	RentedSeconds             float64
 }
 
 // Events. Req numbers are given by the runtime and come back in the replies.
 type (
 	// Tick lets time pass.
 	Tick struct{}
-	// Answer is the result of a call.
-	Answer struct {
-		ID     uint64
+	// CallResult is the result of a call.
+	CallResult struct {
+		CallID uint64
 		Result any
 	}
-	// Submit is a submission. Bad is set when the body was malformed.
-	Submit struct {
-		Req  uint64
-		Spec Spec
-		Bad  string
+	// JobSubmission is a submission. Bad is set when the body was malformed.
+	JobSubmission struct {
+		RequestID uint64
+		Spec      JobSpec
+		Malformed string
 	}
-	// Poll asks for a job's state.
-	Poll struct {
-		Req uint64
-		ID  string
+	// JobQuery asks for a job's state.
+	JobQuery struct {
+		RequestID uint64
+		ID        string
 	}
-	// Withdraw cancels a job.
-	Withdraw struct {
-		Req uint64
-		ID  string
+	// JobCancellation cancels a job.
+	JobCancellation struct {
+		RequestID uint64
+		ID        string
 	}
 	// Overloaded says that requests were turned away here for want of sockets or room, or
 	// dropped because their senders had given up before they were looked at.
 	Overloaded struct{}
-	// Beat is a worker's report.
-	Beat struct {
-		Req    uint64
-		Report Report
+	// Heartbeat is a worker's report.
+	Heartbeat struct {
+		RequestID uint64
+		Status    WorkerStatus
 	}
 	// PeerMessage came from another controller.
 	PeerMessage struct {
@@ -300,86 +302,86 @@
 type (
 	// Call asks for something outside.
 	Call struct {
-		ID uint64
-		Op any
+		ID        uint64
+		Operation any
 	}
-	// Reply answers a user. Status 200 and 201 carry Run.
-	Reply struct {
-		Req        uint64
+	// UserReply answers a user. Status 200 and 201 carry Run.
+	UserReply struct {
+		RequestID  uint64
 		Status     int
-		Run        RunState
+		Job        JobStatus
 		RetryAfter int
-		Why        string
+		Text       string
 	}
-	// BeatReply answers a worker.
-	BeatReply struct {
-		Req     uint64
-		Status  int
-		Token   uint64
-		Orders  []Order
-		Foreman string
+	// HeartbeatReply answers a worker.
+	HeartbeatReply struct {
+		RequestID uint64
+		Status    int
+		Token     uint64
+		Commands  []Command
+		Owner     string
 	}
-	// Tell sends a message to another controller.
-	Tell struct {
+	// SendToPeer sends a message to another controller.
+	SendToPeer struct {
 		To      int
 		Message Message
 	}
-	// Share is this controller's share of what all of them may ask of the state
+	// BudgetShare is this controller's share of what all of them may ask of the state
 	// service and the cloud: from 0 to 1.
-	Share struct{ Requests, Changes, Calls float64 }
-	// Observed is a measurement for the operators.
-	Observed struct {
-		What  int
-		Value float64
+	BudgetShare struct{ Requests, Changes, Calls float64 }
+	// Observation is a measurement for the operators.
+	Observation struct {
+		Metric int
+		Value  float64
 	}
-	// Note is a line for the log.
-	Note struct {
-		Level int // 0 debug, 1 info, 2 warning
-		Text  string
-		Args  []any
+	// LogEvent is a line for the log.
+	LogEvent struct {
+		Level   int // 0 debug, 1 info, 2 warning
+		Message string
+		Args    []any
 	}
 )
 
 // What is observed: seconds from a job's coming to a task's start, seconds of
 // a fetch, jobs committed together.
 const (
-	Wait = iota
-	Fetch
-	Batch
+	MetricTaskWait = iota
+	MetricImageFetch
+	MetricCommitBatch
 )
 
-// Standing is a job's state as users see it.
-type Standing int
+// JobState is a job's state as users see it.
+type JobState int
 
 // Standings.
 const (
-	Pending Standing = iota
-	Active
-	Complete
-	Withdrawn
+	JobPending JobState = iota
+	JobRunning
+	JobDone
+	JobCancelled
 )
 
-// RunState is the answer to a user.
-type RunState struct {
+// JobStatus is the answer to a user.
+type JobStatus struct {
 	ID            string
-	Standing      Standing
+	State         JobState
 	Done, Running int
 }
 
 // Message is what controllers send each other.
 type Message struct {
-	Boot   uint64 // which life of the sender
-	Gossip *Gossip
-	Jobs   []Item // job/ keys as just read or written
-	Slices []Item // slice/ keys as just written
-	Freed  []string
-	Asks   []GrantAsk // of teams whose grants the sender needs
-	Quotas []Item     // quota/ keys as just written
+	Epoch          uint64 // which life of the sender
+	Gossip         *Gossip
+	Jobs           []Item // job/ keys as just read or written
+	Assignments    []Item // slice/ keys as just written
+	ReleasedShards []string
+	GrantRequests  []GrantRequest // of teams whose grants the sender needs
+	Quotas         []Item         // quota/ keys as just written
 }
 
-// GrantAsk asks for room within a team's limit for work that waits, and says how
+// GrantRequest asks for room within a team's limit for work that waits, and says how
 // it ranks.
-type GrantAsk struct {
+type GrantRequest struct {
 	Team  string
 	Cores float64
 	Rank  float64
@@ -387,34 +389,34 @@
 
 // Gossip is what a controller tells the others twice a second.
 type Gossip struct {
-	Seq       uint64            // counts the sender's gossip
-	Echo      map[string]uint64 // the newest Seq heard of each other controller
-	Withdrawn []Item            // withdrawals the sender learned of lately and the receiver may not have heard of
-	StoreOK   bool
-	Reads     int   // the newest form of the store's values that the sender reads
-	Wants     Share // what it asked of the state service lately, a second
-	Parts     []PartView
-	Heard     map[string]int // workers of parts not its own heard lately
-	CutOff    bool           // it gave a part up because it did not hear its workers
+	Seq           uint64            // counts the sender's gossip
+	Received      map[string]uint64 // the newest Seq heard of each other controller
+	Cancellations []Item            // withdrawals the sender learned of lately and the receiver may not have heard of
+	StoreOK       bool
+	ValueFormat   int         // the newest form of the store's values that the sender reads
+	CallRate      BudgetShare // what it asked of the state service lately, a second
+	Shards        []ShardView
+	WorkersHeard  map[string]int // workers of parts not its own heard lately
+	Isolated      bool           // it gave a part up because it did not hear its workers
 }
 
-// PartView is a summary of a part by its owner.
-type PartView struct {
-	Zone   string
-	Token  uint64
-	Dark   bool // its owner hears none of its workers
-	Hosts  []HostGroup
-	Queue  []Backlog
-	Images []ImageShare
-	Scarce []Offer // machines that were refused lately
-	Show   []Shown
-	Used   map[string]Amount
-	Fill   map[string]float64 // cores that backfill may take, by type
-	Queues []Queue            // what does not run yet, by class and team
+// ShardView is a summary of a part by its owner.
+type ShardView struct {
+	Zone         string
+	Token        uint64
+	NoHeartbeats bool // its owner hears none of its workers
+	Hosts        []HostGroup
+	Backlog      []Backlog
+	Images       []ImageShare
+	Exhausted    []MachineKind // machines that were refused lately
+	Jobs         []JobCounts
+	TeamUsage    map[string]Resources
+	BackfillRoom map[string]float64 // cores that backfill may take, by type
+	Queues       []Queue            // what does not run yet, by class and team
 }
 
-// Offer names a kind of machine.
-type Offer struct {
+// MachineKind names a kind of machine.
+type MachineKind struct {
 	Type string
 	Spot bool
 }
@@ -423,13 +425,13 @@
 // kind, with as much in use for about as long. Hundreds of machines make a few
 // dozen groups.
 type HostGroup struct {
-	Type    string
-	Spot    bool
-	Count   int
-	Up      float64 // seconds until they can take work
-	Used    Amount  // of each
-	For     float64 // seconds until that is free again
-	FetchAt float64 // seconds until fetches queued are through
+	Type            string
+	Spot            bool
+	Count           int
+	ReadyInSeconds  float64   // seconds until they can take work
+	Used            Resources // of each
+	BusySeconds     float64   // seconds until that is free again
+	FetchingSeconds float64   // seconds until fetches queued are through
 }
 
 // Backlog is how long work of a priority that waits for a type of machine keeps
@@ -446,14 +448,16 @@
 	Share       float64
 }
 
-// Shown holds a job's counts for display. Of services with replicas missing, which
+// JobCounts holds a job's counts for display. Of services with replicas missing, which
 // are few, it also says what has become of those and why.
-type Shown struct {
+type JobCounts struct {
 	ID                          string
 	Done, Running               int
 	Starting, Fetching, Waiting int
-	MissingS                    float64
-	Why                         Reason
+	MissingSeconds              float64
+	Reason                      Reason
 }
 
-func (s *Shown) tally() Tally { return Tally{s.Running, s.Starting, s.Fetching, s.Waiting} }
+func (s *JobCounts) counts() TaskCounts {
+	return TaskCounts{s.Running, s.Starting, s.Fetching, s.Waiting}
+}
--- a/internal/core/explain.go
+++ b/internal/core/explain.go
@@ -8,74 +8,74 @@
 // Explanation says of one job, as far as this controller can tell, where its
 // tasks are and why the waiting ones wait.
 type Explanation struct {
-	Job      string         `json:"job"`
-	Standing string         `json:"standing"`
-	Service  *ServiceStatus `json:"service,omitempty"`
-	Parts    []PartShare    `json:"parts,omitempty"`
+	Job     string             `json:"job"`
+	State   string             `json:"standing"`
+	Service *ServiceStatus     `json:"service,omitempty"`
+	Shards  []ShardExplanation `json:"parts,omitempty"`
 }
 
-// PartShare is a part's share of a job.
-type PartShare struct {
-	Part    string   `json:"part"`
-	Owner   string   `json:"owner"`
-	Here    bool     `json:"here"`
-	Done    int      `json:"done"`
-	Waiting int      `json:"waiting"`
-	Up      int      `json:"up"`
-	Reason  Reason   `json:"reason,omitempty"`
-	Why     string   `json:"why,omitempty"` // the same in words
-	Running []string `json:"running,omitempty"`
+// ShardExplanation is a part's share of a job.
+type ShardExplanation struct {
+	Shard        string   `json:"part"`
+	Owner        string   `json:"owner"`
+	OwnedHere    bool     `json:"here"`
+	Done         int      `json:"done"`
+	Waiting      int      `json:"waiting"`
+	RunningCount int      `json:"up"`
+	Reason       Reason   `json:"reason,omitempty"`
+	Text         string   `json:"why,omitempty"` // the same in words
+	Running      []string `json:"running,omitempty"`
 }
 
 // Explain explains a job; ok is false when this controller knows nothing of it.
 func (c *Core) Explain(id string) (Explanation, bool) {
-	e := Explanation{Job: id, Standing: "unfinished"}
-	if s, over := c.final[id]; over {
-		e.Standing = map[Standing]string{Complete: "done", Withdrawn: "withdrawn"}[s]
+	e := Explanation{Job: id, State: "unfinished"}
+	if s, over := c.finished[id]; over {
+		e.State = map[JobState]string{JobDone: "done", JobCancelled: "withdrawn"}[s]
 	}
-	j := c.jobs[id]
+	job := c.jobs[id]
 	zones := map[string]bool{}
-	if j != nil {
-		for z := range j.split {
+	if job != nil {
+		for z := range job.split {
 			zones[z] = true
 		}
 	}
-	for _, p := range c.parts {
-		s := p.slices[id]
-		if s == nil {
-			if share, heard := c.heardShare(p, id); heard || zones[p.name] && !p.mine {
-				e.Parts = append(e.Parts, share)
+	for _, shard := range c.shards {
+		assignment := shard.assignments[id]
+		if assignment == nil {
+			if share, heard := c.peerExplanation(shard, id); heard || zones[shard.name] && !shard.owned {
+				e.Shards = append(e.Shards, share)
 			}
 			continue
 		}
-		n := s.tally()
-		share := PartShare{Part: p.name, Owner: c.cfg.Label, Here: true, Done: s.done.count(), Waiting: n.Waiting, Up: n.Up}
-		share.Reason, share.Why = c.why(p, s, n, c.firstUp(p))
-		for _, t := range s.tasks {
+		n := assignment.counts()
+		share := ShardExplanation{Shard: shard.name, Owner: c.cfg.Label, OwnedHere: true, Done: assignment.done.count(), Waiting: n.Waiting, RunningCount: n.Running}
+		share.Reason, share.Text = c.whyMissing(shard, assignment, n, c.nextHostsUp(shard))
+		for _, t := range assignment.tasks {
 			share.Running = append(share.Running, fmt.Sprintf("%d on %s (%s)", t.id.Index, t.host.name, t.stateName()))
 		}
 		sort.Strings(share.Running)
-		e.Parts = append(e.Parts, share)
+		e.Shards = append(e.Shards, share)
 	}
 	if all := c.services(id); len(all) > 0 {
 		e.Service = &all[0]
 	}
-	_, over := c.final[id]
-	return e, over || j != nil || len(e.Parts) > 0
+	_, over := c.finished[id]
+	return e, over || job != nil || len(e.Shards) > 0
 }
 
-// heardShare is what another part's owner said lately of its share of a job.
-func (c *Core) heardShare(p *part, id string) (PartShare, bool) {
-	share := PartShare{Part: p.name, Owner: p.owner, Reason: c.unheard(p)}
-	if share.Reason != NoReason {
-		share.Why = share.Reason.String()
+// peerExplanation is what another part's owner said lately of its share of a job.
+func (c *Core) peerExplanation(shard *Shard, id string) (ShardExplanation, bool) {
+	share := ShardExplanation{Shard: shard.name, Owner: shard.owner, Reason: c.whyUnaccounted(shard)}
+	if share.Reason != ReasonNone {
+		share.Text = share.Reason.String()
 		return share, false
 	}
-	for _, s := range c.shown[p.name] {
-		if s.ID == id && !p.mine {
-			share.Done, share.Waiting, share.Up, share.Reason = s.Done, s.Waiting, s.Running, s.Why
-			if s.Why != NoReason {
-				share.Why = s.Why.String()
+	for _, s := range c.jobCounts[shard.name] {
+		if s.ID == id && !shard.owned {
+			share.Done, share.Waiting, share.RunningCount, share.Reason = s.Done, s.Waiting, s.Running, s.Reason
+			if s.Reason != ReasonNone {
+				share.Text = s.Reason.String()
 			}
 			return share, true
 		}
@@ -83,34 +83,34 @@
 	return share, false
 }
 
-func (t *task) stateName() string {
+func (t *Task) stateName() string {
 	switch {
-	case t.halting:
+	case t.stopping:
 		return "being stopped"
-	case t.phase == placing:
+	case t.phase == taskPlacing:
 		return "placement not durable yet"
 	case t.state == 0:
 		return "launched, not reported yet"
 	}
-	return [...]string{Fetching: "fetching its image", Gathering: "waiting for its gang", Running: "running", Saving: "saving", Ended: "ended"}[t.state]
+	return [...]string{TaskFetching: "fetching its image", TaskWaitingForGang: "waiting for its gang", TaskRunning: "running", TaskSaving: "saving", TaskExited: "ended"}[t.state]
 }
 
-// Residents lists what this controller holds for on machines, for tests and logs.
-func (c *Core) Residents() []string {
+// DescribePlacements lists what this controller holds for on machines, for tests and logs.
+func (c *Core) DescribePlacements() []string {
 	var out []string
-	for _, p := range c.parts {
-		if !p.mine {
+	for _, shard := range c.shards {
+		if !shard.owned {
 			continue
 		}
-		for t, u := range p.used {
+		for t, u := range shard.teamUsage {
 			if u.Cores > 1e-6 {
-				out = append(out, fmt.Sprintf("%s: %s uses %g cores", p.name, c.limits[t].Name, u.Cores))
+				out = append(out, fmt.Sprintf("%s: %s uses %g cores", shard.name, c.teamConfigs[t].Name, u.Cores))
 			}
 		}
-		for _, h := range p.hostList() {
-			for _, id := range sortedTasks(h.tasks) {
-				t := h.tasks[id]
-				out = append(out, fmt.Sprintf("%s: %v attempt %d on %s (%s, host state %d)", p.name, id, t.attempt, h.name, t.stateName(), h.state))
+		for _, host := range shard.hostList() {
+			for _, id := range sortedTasks(host.tasks) {
+				task := host.tasks[id]
+				out = append(out, fmt.Sprintf("%s: %v attempt %d on %s (%s, host state %d)", shard.name, id, task.attempt, host.name, task.stateName(), host.state))
 			}
 		}
 	}
@@ -119,59 +119,59 @@
 
 // whyWaiting names the first thing that a slice's waiting tasks wait for, and says
 // more of it. It changes nothing.
-func (c *Core) whyWaiting(p *part, s *slice, first map[int]*host) (Reason, string) {
-	j := s.job
+func (c *Core) whyWaiting(shard *Shard, assignment *Assignment, first map[int]*Host) (Reason, string) {
+	job := assignment.job
 	plain := func(r Reason) (Reason, string) { return r, r.String() }
-	limited := j.team >= 0 && c.limits[j.team].Limit.limits(j.spec.Need)
+	limited := job.team >= 0 && c.teamConfigs[job.team].Limit.limits(job.spec.Need)
 	switch {
-	case j.standing != Pending:
-		return NoReason, "the job is over"
-	case j.team < 0:
-		return plain(TeamUnknown)
-	case !c.storeWell():
-		return plain(StoreAway)
-	case !c.mayStart():
-		return plain(ViewStale)
-	case p.handingOver:
-		return plain(PartHandingOver)
-	case len(p.refreshing) > 0:
-		return plain(OutcomeUnknown)
-	case j.doubt > 0:
-		return InDoubt, fmt.Sprintf("its tasks fail on every machine (%d so far, last on %v), as if submitted with a mistake; one at a time is tried, the next in %.0f s",
-			j.failures, j.failedNames(), seconds(max(j.doubtAt-c.now, 0)))
-	case limited && (!c.quotas[j.team].known || c.quotas[j.team].need):
-		return plain(LimitUnknown)
-	case c.roomKnown(p, j.team, j.spec.Need) == 0:
-		return plain(AtLimit)
-	case c.now < j.holdTo:
-		return plain(LaunchRefused)
-	case j.spec.Gang && len(s.tasks) > 0:
-		return plain(GangLeaving)
-	case c.ledgerOf(s).most(c.perHost(j), p.longestName()) == 0:
-		return RecordFull, fmt.Sprintf("%s (%d)", RecordFull, len(s.tasks))
-	case c.dark(p):
-		return plain(PartDark)
+	case job.state != JobPending:
+		return ReasonNone, "the job is over"
+	case job.team < 0:
+		return plain(ReasonTeamUnknown)
+	case !c.storeReachable():
+		return plain(ReasonStoreUnavailable)
+	case !c.mayStartTasks():
+		return plain(ReasonViewStale)
+	case shard.handingOver:
+		return plain(ReasonShardHandover)
+	case len(shard.unknownKeys) > 0:
+		return plain(ReasonOutcomeUnknown)
+	case job.failedTrials > 0:
+		return ReasonSuspectJob, fmt.Sprintf("its tasks fail on every machine (%d so far, last on %v), as if submitted with a mistake; one at a time is tried, the next in %.0f s",
+			job.failures, job.failedHosts(), seconds(max(job.nextTrialAt-c.now, 0)))
+	case limited && (!c.quotas[job.team].known || c.quotas[job.team].mustReread):
+		return plain(ReasonLimitUnknown)
+	case c.knownTeamRoom(shard, job.team, job.spec.Need) == 0:
+		return plain(ReasonAtLimit)
+	case c.now < job.holdUntil:
+		return plain(ReasonLaunchRefused)
+	case job.spec.Gang && len(assignment.tasks) > 0:
+		return plain(ReasonGangStopping)
+	case c.sizeBudgetOf(assignment).maxTasks(c.tasksPerUsualMachine(job), shard.longestName()) == 0:
+		return ReasonRecordFull, fmt.Sprintf("%s (%d)", ReasonRecordFull, len(assignment.tasks))
+	case c.noHeartbeats(shard):
+		return plain(ReasonShardSilent)
 	}
-	return c.whyNoRoom(p, s, first)
+	return c.whyNoRoom(shard, assignment, first)
 }
 
 // whyNoRoom says what has become of room for a slice: machines on their way, asked
 // for, refused by the cloud, or kept for others.
-func (c *Core) whyNoRoom(p *part, s *slice, first map[int]*host) (Reason, string) {
-	var next *host
+func (c *Core) whyNoRoom(shard *Shard, assignment *Assignment, first map[int]*Host) (Reason, string) {
+	var next *Host
 	toHire, refused := 0, 0
 	for t := range c.types {
 		for _, spot := range []bool{true, false} {
-			kind := c.kind(p.zone, t, spot)
-			if c.holds(t, s.job.spec.Need) == 0 || !c.allowedOn(s.job, kind) {
+			kind := c.kindIndex(shard.zone, t, spot)
+			if c.tasksPerMachine(t, assignment.job.spec.Need) == 0 || !c.allowedOn(assignment.job, kind) {
 				continue
 			}
-			if h := first[kind]; h != nil && (next == nil || h.eta < next.eta) {
+			if h := first[kind]; h != nil && (next == nil || h.expectedUpAt < next.expectedUpAt) {
 				next = h
 			}
-			if contains(c.types[t].Zones, p.name) {
+			if contains(c.types[t].Zones, shard.name) {
 				toHire++
-				if c.now < p.scarce[Offer{c.types[t].Name, spot}] {
+				if c.now < shard.exhaustedUntil[MachineKind{c.types[t].Name, spot}] {
 					refused++
 				}
 			}
@@ -179,24 +179,24 @@
 	}
 	switch {
 	case next != nil:
-		return Booting, fmt.Sprintf("no room; %s should be up in about %.0f s", next.name, seconds(max(next.eta-c.now, 0)))
-	case c.keeps(s):
-		return HeldBack, HeldBack.String()
-	case len(p.hiring) > 0:
-		return Hiring, Hiring.String()
+		return ReasonBooting, fmt.Sprintf("no room; %s should be up in about %.0f s", next.name, seconds(max(next.expectedUpAt-c.now, 0)))
+	case c.leavesReserve(assignment):
+		return ReasonHeldBack, ReasonHeldBack.String()
+	case len(shard.rentals) > 0:
+		return ReasonRenting, ReasonRenting.String()
 	case toHire == refused:
-		return NoCapacity, NoCapacity.String()
+		return ReasonNoCapacity, ReasonNoCapacity.String()
 	}
-	return OutOfRoom, OutOfRoom.String()
+	return ReasonNoRoom, ReasonNoRoom.String()
 }
 
-// firstUp is the part's booting machine that is expected first, by kind.
-func (c *Core) firstUp(p *part) map[int]*host {
-	first := map[int]*host{}
-	for _, h := range p.hostList() {
-		if h.state == booting && h.typ >= 0 {
-			if k := c.kind(p.zone, h.typ, h.spot); first[k] == nil || h.eta < first[k].eta {
-				first[k] = h
+// nextHostsUp is the part's booting machine that is expected first, by kind.
+func (c *Core) nextHostsUp(shard *Shard) map[int]*Host {
+	first := map[int]*Host{}
+	for _, host := range shard.hostList() {
+		if host.state == hostBooting && host.typeIndex >= 0 {
+			if k := c.kindIndex(shard.zone, host.typeIndex, host.spot); first[k] == nil || host.expectedUpAt < first[k].expectedUpAt {
+				first[k] = host
 			}
 		}
 	}
--- a/internal/core/hiring.go
+++ b/internal/core/hiring.go
@@ -7,80 +7,80 @@
 	"time"
 )
 
-// hire is a rental under way. Its name is never used for anything else; while
+// rental is a rental under way. Its name is never used for anything else; while
 // no answer came it is repeated under the same name.
-type hire struct {
-	op      HireOp
-	typ     int
-	tries   int
-	busy    bool
-	retryAt time.Duration
-	asked   time.Duration
+type rental struct {
+	request     RentHosts
+	typeIndex   int
+	attempts    int
+	pending     bool
+	retryAt     time.Duration
+	requestedAt time.Duration
 }
 
 // usualType is the type that a job's machines are hired of when there is a
 // choice, or -1.
-func (c *Core) usualType(j *job) int {
+func (c *Core) usualType(job *Job) int {
 	best, price := -1, 0.0
 	for t := range c.types {
-		if c.typesOf(j)&(1<<t) == 0 {
+		if c.typeSet(job)&(1<<t) == 0 {
 			continue
 		}
-		if x := c.priceFor(j, Offer{c.types[t].Name, j.spec.Spot}); best < 0 || x < price {
+		if x := c.priceFor(job, MachineKind{c.types[t].Name, job.spec.Spot}); best < 0 || x < price {
 			best, price = t, x
 		}
 	}
 	return best
 }
 
-// coming counts the machines on their way, by kind.
-func (c *Core) coming(p *part) map[int]float64 {
+// pendingHosts counts the machines on their way, by kind.
+func (c *Core) pendingHosts(shard *Shard) map[int]float64 {
 	out := map[int]float64{}
-	for _, h := range p.hostList() {
-		if (h.state == booting || h.joining(c.now)) && h.typ >= 0 {
-			out[c.kind(p.zone, h.typ, h.spot)]++
+	for _, host := range shard.hostList() {
+		if (host.state == hostBooting || host.isJoining(c.now)) && host.typeIndex >= 0 {
+			out[c.kindIndex(shard.zone, host.typeIndex, host.spot)]++
 		}
 	}
-	for _, r := range p.hiring {
-		out[c.kind(p.zone, r.typ, r.op.Spot)] += float64(r.op.Number)
+	for _, r := range shard.rentals {
+		out[c.kindIndex(shard.zone, r.typeIndex, r.request.Spot)] += float64(r.request.Count)
 	}
 	return out
 }
 
 // offers lists what may be hired in the part, cheapest per core first, leaving
 // out what was refused lately.
-func (c *Core) offers(p *part) []Offer {
-	var out []Offer
+func (c *Core) offers(shard *Shard) []MachineKind {
+	var out []MachineKind
 	for _, t := range c.types {
-		if !contains(t.Zones, p.name) {
+		if !contains(t.Zones, shard.name) {
 			continue
 		}
 		for _, spot := range []bool{true, false} {
-			if o := (Offer{t.Name, spot}); c.now >= p.scarce[o] {
+			if o := (MachineKind{t.Name, spot}); c.now >= shard.exhaustedUntil[o] {
 				out = append(out, o)
 			}
 		}
 	}
-	sort.SliceStable(out, func(a, b int) bool { return c.perCore(out[a]) < c.perCore(out[b]) })
+	sort.SliceStable(out, func(a, b int) bool { return c.pricePerCore(out[a]) < c.pricePerCore(out[b]) })
 	return out
 }
 
-func (c *Core) perCore(o Offer) float64 {
-	t := &c.types[c.typeIdx.known(o.Type)]
+func (c *Core) pricePerCore(o MachineKind) float64 {
+	t := &c.types[c.typeIndex.lookup(o.Type)]
 	price := t.Price
 	if o.Spot {
 		price = t.SpotPrice
 	}
-	return price / max(t.Total.Cores, 0.01)
+	return price / max(t.Capacity.Cores, 0.01)
 }
 
-// hireFor rents machines for work that finds no room soon, beyond what
+// rentFor rents machines for work that finds no room soon, beyond what
 // machines on their way will hold; those are then spoken for.
-func (c *Core) hireFor(p *part, n need, coming map[int]float64) {
+func (c *Core) rentFor(shard *Shard, n unplacedWork, coming map[int]float64) {
 	per := n.job.spec.Need
 	short := float64(n.tasks)
 	for _, kind := range sorted(coming) {
-		k := float64(c.holds(kind/2%len(c.types), per))
+		k := float64(c.tasksPerMachine(kind/2%len(c.types), per))
 		if k == 0 || coming[kind] <= 0 || !c.allowedOn(n.job, kind) || short <= 0 {
 			continue
 		}
@@ -91,68 +91,68 @@
 	if short < 0.01 {
 		return
 	}
-	offers := c.offers(p)
+	offers := c.offers(shard)
 	sort.SliceStable(offers, func(a, b int) bool { return c.priceFor(n.job, offers[a]) < c.priceFor(n.job, offers[b]) })
 	for _, o := range offers {
-		typ := c.typeIdx.known(o.Type)
-		k, kind := c.holds(typ, per), c.kind(p.zone, typ, o.Spot)
+		typ := c.typeIndex.lookup(o.Type)
+		k, kind := c.tasksPerMachine(typ, per), c.kindIndex(shard.zone, typ, o.Spot)
 		if k == 0 || !c.allowedOn(n.job, kind) {
 			continue
 		}
-		boot := duration(c.types[typ].BootS)
-		if c.backfills(n.job) {
-			s := p.slices[n.job.id]
-			if s == nil || c.now < n.job.since+boot && c.queueFor(p, priorities)[typ] < seconds(boot) {
+		boot := duration(c.types[typ].BootSeconds)
+		if c.isBackfill(n.job) {
+			assignment := shard.assignments[n.job.id]
+			if assignment == nil || c.now < n.job.knownSince+boot && c.queueSeconds(shard, priorities)[typ] < seconds(boot) {
 				return
 			}
 			if !o.Spot && n.job.spec.Spot {
 				// No dear machine for backfill, as long as they can wait.
-				if c.sendAway(p, n.job, short) || c.keeps(s) {
+				if c.exportTasks(shard, n.job, short) || c.leavesReserve(assignment) {
 					return
 				}
-				short = min(short, beginWith)
+				short = min(short, overdueBackfillTasks)
 			}
 		}
-		if !o.Spot && n.job.spec.Spot && c.capacity(p, c.typesOf(n.job)) > chanceCores {
+		if !o.Spot && n.job.spec.Spot && c.capacity(shard, c.typeSet(n.job)) > smallFleetCores {
 			// Dear machines only for what still waits when they are up. What has
 			// waited as long as that already is not put off by a reckoning: the
 			// queue counts machines that this very job may not be able to use, and
 			// on a few machines a queue says little of when it ends.
-			if c.now < n.job.since+boot {
-				queue := c.queueFor(p, n.job.spec.Priority)[typ]
+			if c.now < n.job.knownSince+boot {
+				queue := c.queueSeconds(shard, n.job.spec.Priority)[typ]
 				if short *= max(1-seconds(boot)/max(queue, 0.1), 0); short < 0.5 {
 					return
 				}
 			}
-			if c.sendAway(p, n.job, short) {
+			if c.exportTasks(shard, n.job, short) {
 				return
 			}
 		}
 		want := short / float64(k)
-		if count := c.hire(p, o, count(math.Ceil(want-0.01)), "waiting work"); count > 0 {
+		if count := c.rent(shard, o, wholeTasks(math.Ceil(want-0.01)), "waiting work"); count > 0 {
 			coming[kind] += max(float64(count)-want, 0)
 		}
 		return
 	}
 }
 
-// export is work to be handed to another part, which hires spot machines for it.
-type export struct {
-	to    *part
+// taskExport is work to be handed to another part, which hires spot machines for it.
+type taskExport struct {
+	to    *Shard
 	tasks int
 }
 
-// sendAway has waiting tasks handed to the part that can hire spot machines for them,
+// exportTasks has waiting tasks handed to the part that can hire spot machines for them,
 // if there is one and they may go there.
-func (c *Core) sendAway(p *part, j *job, tasks float64) bool {
-	if !movable(j) {
+func (c *Core) exportTasks(shard *Shard, job *Job, tasks float64) bool {
+	if !movable(job) {
 		return false
 	}
-	q := c.spotElsewhere(p, c.typesOf(j), j.spec.Priority)
-	if q != nil {
-		p.export[j.id] = export{q, count(math.Ceil(tasks))}
+	other := c.spotElsewhere(shard, c.typeSet(job), job.spec.Priority)
+	if other != nil {
+		shard.exports[job.id] = taskExport{other, wholeTasks(math.Ceil(tasks))}
 	}
-	return q != nil
+	return other != nil
 }
 
 // spotElsewhere names the part that can hire spot machines of the types given where
@@ -161,33 +161,33 @@
 // they can hire, and jobs go where machines are free already, so one was short of
 // machines while others' cheap ones were never rented. A part whose machines all boot has
 // a long queue and is the place to go all the same.
-func (c *Core) spotElsewhere(p *part, types uint64, priority int) *part {
-	var best *part
-	least, here := 0.0, c.queueFor(p, priority)
-	for _, q := range c.parts {
-		if q == p || !c.current(q) || c.darkFor(q) {
+func (c *Core) spotElsewhere(shard *Shard, types uint64, priority int) *Shard {
+	var best *Shard
+	least, here := 0.0, c.queueSeconds(shard, priority)
+	for _, other := range c.shards {
+		if other == shard || !c.viewIsCurrent(other) || c.reportsNoHeartbeats(other) {
 			continue
 		}
 		for t := range c.types {
-			if types&(1<<t) == 0 || !contains(c.types[t].Zones, q.name) || c.isScarce(q, Offer{c.types[t].Name, true}) {
+			if types&(1<<t) == 0 || !contains(c.types[t].Zones, other.name) || c.isExhausted(other, MachineKind{c.types[t].Name, true}) {
 				continue
 			}
-			if wait := c.queueFor(q, priority)[t]; wait < max(c.types[t].BootS, here[t]) && (best == nil || wait < least) {
-				best, least = q, wait
+			if wait := c.queueSeconds(other, priority)[t]; wait < max(c.types[t].BootSeconds, here[t]) && (best == nil || wait < least) {
+				best, least = other, wait
 			}
 		}
 	}
 	return best
 }
 
-// cheapElsewhere says whether any other part can hire spot machines of the types given.
-func (c *Core) cheapElsewhere(p *part, types uint64) bool {
-	for _, q := range c.parts {
-		if q == p || !c.current(q) || c.darkFor(q) {
+// spotAvailableElsewhere says whether any other part can hire spot machines of the types given.
+func (c *Core) spotAvailableElsewhere(shard *Shard, types uint64) bool {
+	for _, other := range c.shards {
+		if other == shard || !c.viewIsCurrent(other) || c.reportsNoHeartbeats(other) {
 			continue
 		}
 		for t := range c.types {
-			if types&(1<<t) != 0 && contains(c.types[t].Zones, q.name) && !c.isScarce(q, Offer{c.types[t].Name, true}) {
+			if types&(1<<t) != 0 && contains(c.types[t].Zones, other.name) && !c.isExhausted(other, MachineKind{c.types[t].Name, true}) {
 				return true
 			}
 		}
@@ -197,190 +197,190 @@
 
 // priceFor is an offer's price per core for a job; types that others cannot do
 // without count as dearer.
-func (c *Core) priceFor(j *job, o Offer) float64 {
-	if c.contested(j, c.typeIdx.known(o.Type)) {
-		return 1.6 * c.perCore(o)
+func (c *Core) priceFor(job *Job, o MachineKind) float64 {
+	if c.contested(job, c.typeIndex.lookup(o.Type)) {
+		return 1.6 * c.pricePerCore(o)
 	}
-	return c.perCore(o)
+	return c.pricePerCore(o)
 }
 
-// holds is how many tasks of a shape an empty machine of the type takes.
-func (c *Core) holds(typ int, per Amount) int {
-	t := c.types[typ].Total
+// tasksPerMachine is how many tasks of a shape an empty machine of the type takes.
+func (c *Core) tasksPerMachine(typ int, per Resources) int {
+	t := c.types[typ].Capacity
 	n := 1 << 20
-	for _, x := range [][2]float64{{t.Cores, per.Cores}, {t.Cards, per.Cards}, {t.Mem, per.Mem}} {
+	for _, x := range [][2]float64{{t.Cores, per.Cores}, {t.GPUs, per.GPUs}, {t.MemoryGB, per.MemoryGB}} {
 		if x[1] > 0 {
-			n = min(n, count((x[0]+1e-6)/x[1]))
+			n = min(n, wholeTasks((x[0]+1e-6)/x[1]))
 		}
 	}
 	return n
 }
 
-// hireRoom rents for demand foreseen, one kind at a time: spot machines up to
+// rentForDemand rents for demand foreseen, one kind at a time: spot machines up to
 // what peaks and their growth ask for, dear ones only up to the demand that lasts, where there are
 // enough machines to tell and no queue outlasts a boot. A peak is mostly over by
 // the time a machine is up. No dear ones for what can go where cheap ones are to be had.
-func (c *Core) hireRoom(p *part, types uint64, grown, peaks, lasting float64) {
-	for _, o := range c.offers(p) {
-		typ := c.typeIdx.known(o.Type)
+func (c *Core) rentForDemand(shard *Shard, types uint64, grown, peaks, lasting float64) {
+	for _, o := range c.offers(shard) {
+		typ := c.typeIndex.lookup(o.Type)
 		cores := grown
 		if !o.Spot {
 			cores = peaks
-			if c.queueFor(p, priorities)[typ] < c.types[typ].BootS {
+			if c.queueSeconds(shard, priorities)[typ] < c.types[typ].BootSeconds {
 				cores = lasting
 			}
 		}
-		if !o.Spot && c.cheapElsewhere(p, types) {
+		if !o.Spot && c.spotAvailableElsewhere(shard, types) {
 			return
 		}
-		if n := count(cores/c.types[typ].Total.Cores + 0.5); n > 0 && types&(1<<typ) != 0 {
-			c.hire(p, o, min(n, 4), "room")
+		if n := wholeTasks(cores/c.types[typ].Capacity.Cores + 0.5); n > 0 && types&(1<<typ) != 0 {
+			c.rent(shard, o, min(n, 4), "room")
 			return
 		}
 	}
 }
 
-// hirePlain rents ordinary machines for foreseen demand of work that may use no others.
-func (c *Core) hirePlain(p *part, types uint64, cores float64) {
-	for _, o := range c.offers(p) {
-		typ := c.typeIdx.known(o.Type)
-		if n := count(cores/c.types[typ].Total.Cores + 0.5); n > 0 && !o.Spot && types&(1<<typ) != 0 {
-			c.hire(p, o, min(n, 4), "ordinary room")
+// rentOrdinary rents ordinary machines for foreseen demand of work that may use no others.
+func (c *Core) rentOrdinary(shard *Shard, types uint64, cores float64) {
+	for _, o := range c.offers(shard) {
+		typ := c.typeIndex.lookup(o.Type)
+		if n := wholeTasks(cores/c.types[typ].Capacity.Cores + 0.5); n > 0 && !o.Spot && types&(1<<typ) != 0 {
+			c.rent(shard, o, min(n, 4), "ordinary room")
 			return
 		}
 	}
 }
 
-// mostHired is how many machines the cloud rents out at a time.
-const mostHired = 50
+// maxRentedAtOnce is how many machines the cloud rents out at a time.
+const maxRentedAtOnce = 50
 
-// hire rents up to count machines of a kind and returns how many are asked for. What
+// rent rents up to count machines of a kind and returns how many are asked for. What
 // is wanted for one job after the other goes into one request per kind, of which one
 // is under way at a time: with a request for each job, and few calls a second, a crowd
 // of jobs waited half a minute for the last of its machines to be asked for.
-func (c *Core) hire(p *part, o Offer, count int, why string) int {
+func (c *Core) rent(shard *Shard, o MachineKind, count int, why string) int {
 	if count <= 0 {
 		return 0
 	}
-	for _, r := range p.hiring {
-		if r.op.Type != o.Type || r.op.Spot != o.Spot {
+	for _, rental := range shard.rentals {
+		if rental.request.Type != o.Type || rental.request.Spot != o.Spot {
 			continue
 		}
-		if r.tries > 0 {
+		if rental.attempts > 0 {
 			return 0
 		}
-		more := min(count, mostHired-r.op.Number)
-		c.note(0, "hiring more", "name", r.op.Name, "number", more, "for", why)
-		r.op.Number += more
+		more := min(count, maxRentedAtOnce-rental.request.Count)
+		c.log(0, "hiring more", "name", rental.request.Name, "number", more, "for", why)
+		rental.request.Count += more
 		return more
 	}
-	if len(p.hiring) >= 4 {
+	if len(shard.rentals) >= 4 {
 		return 0
 	}
-	count = min(count, mostHired)
-	c.note(0, "to hire", "type", o.Type, "spot", o.Spot, "number", count, "for", why, "part", p.name)
-	p.hireSeq++
+	count = min(count, maxRentedAtOnce)
+	c.log(0, "to hire", "type", o.Type, "spot", o.Spot, "number", count, "for", why, "part", shard.name)
+	shard.rentalSeq++
 	// The token makes the name this ownership's own, the counter this request's.
-	name := fmt.Sprintf("r-%s-%d-%d", p.name, p.token, p.hireSeq)
-	p.hiring = append(p.hiring, &hire{typ: c.typeIdx.known(o.Type), asked: c.now,
-		op: HireOp{Name: name, Type: o.Type, Zone: p.name, Spot: o.Spot, Number: count}})
+	name := fmt.Sprintf("r-%s-%d-%d", shard.name, shard.token, shard.rentalSeq)
+	shard.rentals = append(shard.rentals, &rental{typeIndex: c.typeIndex.lookup(o.Type), requestedAt: c.now,
+		request: RentHosts{Name: name, Type: o.Type, Zone: shard.name, Spot: o.Spot, Count: count}})
 	return count
 }
 
-func (c *Core) pushHires(p *part) {
-	tenure := p.tenure
-	for _, r := range p.hiring {
-		if r.busy || c.now < r.retryAt {
+func (c *Core) sendRentals(shard *Shard) {
+	tenure := shard.term
+	for _, rental := range shard.rentals {
+		if rental.pending || c.now < rental.retryAt {
 			continue
 		}
-		r.busy = true
-		r.tries++
-		c.note(1, "hiring", "name", r.op.Name, "type", r.op.Type, "spot", r.op.Spot, "number", r.op.Number, "part", p.name, "token", p.token)
-		c.call(r.op, func(x any) {
-			if !p.mine || p.tenure != tenure {
+		rental.pending = true
+		rental.attempts++
+		c.log(1, "hiring", "name", rental.request.Name, "type", rental.request.Type, "spot", rental.request.Spot, "number", rental.request.Count, "part", shard.name, "token", shard.token)
+		c.call(rental.request, func(x any) {
+			if !shard.owned || shard.term != tenure {
 				return
 			}
-			r.busy = false
-			res := x.(HireResult)
+			rental.pending = false
+			res := x.(RentResult)
 			switch res.Outcome {
-			case OK:
-				c.hired(p, r, res.Hosts)
-			case Refused:
-				p.scarce[Offer{r.op.Type, r.op.Spot}] = c.now + 20*time.Second
-				c.note(1, "no capacity", "type", r.op.Type, "spot", r.op.Spot, "part", p.name)
+			case OutcomeOK:
+				c.onRented(shard, rental, res.Hosts)
+			case OutcomeRefused:
+				shard.exhaustedUntil[MachineKind{rental.request.Type, rental.request.Spot}] = c.now + 20*time.Second
+				c.log(1, "no capacity", "type", rental.request.Type, "spot", rental.request.Spot, "part", shard.name)
 			default:
-				if r.tries < 30 {
-					r.retryAt = c.now + 700*time.Millisecond
+				if rental.attempts < 30 {
+					rental.retryAt = c.now + 700*time.Millisecond
 					return
 				}
 			}
-			for i, q := range p.hiring {
-				if q == r {
-					p.hiring = append(p.hiring[:i], p.hiring[i+1:]...)
+			for i, q := range shard.rentals {
+				if q == rental {
+					shard.rentals = append(shard.rentals[:i], shard.rentals[i+1:]...)
 					break
 				}
 			}
-			p.replan = true
+			shard.needsPlan = true
 		})
 	}
 }
 
-func (c *Core) hired(p *part, r *hire, names []string) {
-	c.stats.Hired += uint64(len(names))
-	if len(names) < r.op.Number {
-		p.scarce[Offer{r.op.Type, r.op.Spot}] = c.now + 20*time.Second
+func (c *Core) onRented(shard *Shard, r *rental, names []string) {
+	c.stats.Rented += uint64(len(names))
+	if len(names) < r.request.Count {
+		shard.exhaustedUntil[MachineKind{r.request.Type, r.request.Spot}] = c.now + 20*time.Second
 	}
 	for _, name := range names {
-		if _, gone := p.gone[name]; gone {
+		if _, gone := shard.returnedHosts[name]; gone {
 			continue
 		}
-		h := c.hostNamed(p, name)
-		h.typ, h.spot = r.typ, r.op.Spot
-		h.hiredAt = r.asked
-		h.eta = r.asked + duration(c.types[r.typ].BootS*1.1)
-		h.giveUp = r.asked + c.patience(c.types[r.typ].BootS)
-		if h.session == 0 {
-			h.state = booting
+		host := c.hostByName(shard, name)
+		host.typeIndex, host.spot = r.typeIndex, r.request.Spot
+		host.rentedAt = r.requestedAt
+		host.expectedUpAt = r.requestedAt + duration(c.types[r.typeIndex].BootSeconds*1.1)
+		host.giveUpAt = r.requestedAt + c.bootTimeout(c.types[r.typeIndex].BootSeconds)
+		if host.incarnation == 0 {
+			host.state = hostBooting
 		}
 	}
 }
 
 // surplusOf is what a pool has beyond the cores that recent demand asks for, of all its
 // machines and of the ordinary ones that work which may use no others asks for.
-func (c *Core) surplusOf(p *part, types uint64, target, ordinary float64) surplus {
-	return surplus{c.capacity(p, types) - target, c.ordinary(p, types) - ordinary}
+func (c *Core) surplusOf(p *Shard, types uint64, target, ordinary float64) surplus {
+	return surplus{c.capacity(p, types) - target, c.ordinaryCapacity(p, types) - ordinary}
 }
 
-// returnIdle gives machines back that have been idle for a while, or have been emptied,
+// returnIdleHosts gives machines back that have been idle for a while, or have been emptied,
 // dearest first, as far as the surplus allows.
-func (c *Core) returnIdle(p *part, types uint64, over *surplus) {
-	for _, n := range p.shortage {
-		if c.typesOf(n.job)&types != 0 {
+func (c *Core) returnIdleHosts(shard *Shard, types uint64, over *surplus) {
+	for _, n := range shard.unplaced {
+		if c.typeSet(n.job)&types != 0 {
 			return // it may yet go there
 		}
 	}
-	var idle []*host
-	for _, h := range p.hostList() {
-		if h.state == up && h.typ >= 0 && types&(1<<h.typ) != 0 && len(h.tasks) == 0 && h.recall == 0 &&
-			(h.cordoned || c.now >= h.idleSince+c.cfg.Knobs.KeepIdle) {
-			idle = append(idle, h)
+	var idle []*Host
+	for _, host := range shard.hostList() {
+		if host.state == hostUp && host.typeIndex >= 0 && types&(1<<host.typeIndex) != 0 && len(host.tasks) == 0 && host.reclaimedAt == 0 &&
+			(host.cordoned || c.now >= host.idleSince+c.cfg.Tuning.KeepIdle) {
+			idle = append(idle, host)
 		}
 	}
 	sort.Slice(idle, func(a, b int) bool {
-		x := c.perCore(Offer{c.types[idle[a].typ].Name, idle[a].spot})
-		y := c.perCore(Offer{c.types[idle[b].typ].Name, idle[b].spot})
+		x := c.pricePerCore(MachineKind{c.types[idle[a].typeIndex].Name, idle[a].spot})
+		y := c.pricePerCore(MachineKind{c.types[idle[b].typeIndex].Name, idle[b].spot})
 		if x != y {
 			return x > y
 		}
 		return idle[a].name < idle[b].name
 	})
-	var back []*host
-	for _, h := range idle {
-		if over.take(c.types[h.typ].Total.Cores, h.spot) {
-			back = append(back, h)
+	var back []*Host
+	for _, host := range idle {
+		if over.take(c.types[host.typeIndex].Capacity.Cores, host.spot) {
+			back = append(back, host)
 		}
 	}
 	if len(back) > 0 {
-		c.giveHostsBack(p, back)
+		c.returnHosts(shard, back)
 	}
 }
--- a/internal/core/launches.go
+++ b/internal/core/launches.go
@@ -7,198 +7,198 @@
 	attempt uint64
 }
 
-// launch is an order that went straight to a worker and has no answer. While
+// sentLaunch is an order that went straight to a worker and has no answer. While
 // token and session match it may be executed at any later time.
-type launch struct{ token, session uint64 }
+type sentLaunch struct{ token, incarnation uint64 }
 
-// placedNow is called when a placement has become durable.
-func (c *Core) placedNow(p *part, t *task) {
-	t.phase = onHost
+// onPlaced is called when a placement has become durable.
+func (c *Core) onPlaced(shard *Shard, task *Task) {
+	task.phase = taskPlaced
 	c.stats.Placed++
-	c.note(1, "task placed", "job", t.id.Job, "task", t.id.Index, "host", t.host.name, "part", p.name, "token", p.token, "attempt", t.attempt)
-	h := t.host
+	c.log(1, "task placed", "job", task.id.Job, "task", task.id.Index, "host", task.host.name, "part", shard.name, "token", shard.token, "attempt", task.attempt)
+	host := task.host
 	switch {
-	case h.state == dead:
-		c.settle(p, t, false)
-	case t.slice == nil || t.slice.job.standing != Pending:
-		c.halt(p, t, 0)
+	case host.state == hostGone:
+		c.confirmExit(shard, task, false)
+	case task.assignment == nil || task.assignment.job.state != JobPending:
+		c.stopTask(shard, task, 0)
 	default:
-		p.enqueue(h, Order{Verb: Launch, Task: t.id, Attempt: t.attempt})
+		shard.enqueue(host, Command{Verb: VerbLaunch, Task: task.id, Attempt: task.attempt})
 	}
 }
 
-// settle records that a task has left its host for certain.
-func (c *Core) settle(p *part, t *task, done bool) {
-	if t.phase == placing {
+// confirmExit records that a task has left its host for certain.
+func (c *Core) confirmExit(shard *Shard, task *Task, done bool) {
+	if task.phase == taskPlacing {
 		return // decided when the transaction's outcome is known
 	}
-	c.vacate(p, t)
-	s := t.slice
-	if s == nil || s.tasks[t.id.Index] != t {
+	c.release(shard, task)
+	assignment := task.assignment
+	if assignment == nil || assignment.tasks[task.id.Index] != task {
 		return
 	}
-	delete(s.tasks, t.id.Index)
-	if len(s.tasks) == 0 {
-		s.bareAt = c.now
+	delete(assignment.tasks, task.id.Index)
+	if len(assignment.tasks) == 0 {
+		assignment.lastExitAt = c.now
 	}
-	if s.job.standing != Pending {
-		if len(s.tasks) == 0 {
-			p.dirty[s.job.id] = s
+	if assignment.job.state != JobPending {
+		if len(assignment.tasks) == 0 {
+			shard.dirty[assignment.job.id] = assignment
 		}
 		return
 	}
-	done = done && !s.job.spec.Service
-	s.settled[t.id.Index] = outcome{t.attempt, done}
-	if s.job.spec.Gang && !done {
+	done = done && !assignment.job.spec.Service
+	assignment.unrecordedExits[task.id.Index] = taskExit{task.attempt, done}
+	if assignment.job.spec.Gang && !done {
 		// A gang runs together or not at all.
-		for _, i := range sorted(s.tasks) {
-			other := s.tasks[i]
+		for _, i := range sorted(assignment.tasks) {
+			other := assignment.tasks[i]
 			if other == nil {
 				continue
 			}
-			if other.phase == onHost && !other.halting {
-				c.halt(p, other, s.job.spec.Save)
+			if other.phase == taskPlaced && !other.stopping {
+				c.stopTask(shard, other, assignment.job.spec.SaveSeconds)
 			}
 		}
 	}
 	if done {
-		s.done.add(t.id.Index)
+		assignment.done.add(task.id.Index)
 		c.stats.Finished++
 	} else {
-		s.waiting.add(t.id.Index)
+		assignment.waiting.add(task.id.Index)
 		c.stats.Requeued++
-		c.note(1, "task back in the queue", "job", t.id.Job, "task", t.id.Index, "host", t.host.name, "part", p.name)
+		c.log(1, "task back in the queue", "job", task.id.Job, "task", task.id.Index, "host", task.host.name, "part", shard.name)
 	}
-	c.ended(p, s, done)
-	p.replan = true
+	c.recordExit(shard, assignment, done)
+	shard.needsPlan = true
 }
 
-// recordWithin is how long the end of one of a slice's tasks may wait to be
+// recordDelay is how long the end of one of a slice's tasks may wait to be
 // written down together with others.
-const recordWithin = 8 * time.Second
+const recordDelay = 8 * time.Second
 
-// ended has an end recorded. A completed task's may wait: until it is durable
+// recordExit has an end recorded. A completed task's may wait: until it is durable
 // the task stays in its worker's report, where an owner that comes after me
 // finds it, and the room it took is free by the report alone. What ends the
 // slice, or must start again, is written at once.
-func (c *Core) ended(p *part, s *slice, done bool) {
-	if !done || s.complete() {
-		p.dirty[s.job.id] = s
-	} else if _, waits := p.later[s.job.id]; !waits {
-		p.later[s.job.id] = c.now + recordWithin
+func (c *Core) recordExit(shard *Shard, assignment *Assignment, done bool) {
+	if !done || assignment.complete() {
+		shard.dirty[assignment.job.id] = assignment
+	} else if _, waits := shard.recordBy[assignment.job.id]; !waits {
+		shard.recordBy[assignment.job.id] = c.now + recordDelay
 	}
 }
 
-// halt stops a task. One that was never sent anywhere is off its host at once.
-func (c *Core) halt(p *part, t *task, leeway float64) {
-	if !t.sent && !t.inherited && !t.seen {
-		kept := t.host.queue[:0]
-		for _, o := range t.host.queue {
-			if o.Verb != Launch || o.Task != t.id || o.Attempt != t.attempt {
+// stopTask stops a task. One that was never sent anywhere is off its host at once.
+func (c *Core) stopTask(shard *Shard, task *Task, leeway float64) {
+	if !task.launchSent && !task.inherited && !task.reported {
+		kept := task.host.commands[:0]
+		for _, o := range task.host.commands {
+			if o.Verb != VerbLaunch || o.Task != task.id || o.Attempt != task.attempt {
 				kept = append(kept, o)
 			}
 		}
-		t.host.queue = kept
-		c.settle(p, t, false)
+		task.host.commands = kept
+		c.confirmExit(shard, task, false)
 		return
 	}
-	if t.halting && leeway >= t.leeway {
+	if task.stopping && leeway >= task.gracePeriod {
 		return
 	}
-	t.halting, t.leeway, t.haltAt = true, leeway, c.now
-	p.enqueue(t.host, Order{Verb: Halt, Task: t.id, Attempt: t.attempt, Leeway: leeway})
+	task.stopping, task.gracePeriod, task.stopRequestedAt = true, leeway, c.now
+	shard.enqueue(task.host, Command{Verb: VerbStop, Task: task.id, Attempt: task.attempt, GracePeriod: leeway})
 }
 
 // enqueue notes an order for a host; the part looks only at hosts that have some.
-func (p *part) enqueue(h *host, o Order) {
-	h.queue = append(h.queue, o)
-	if !h.queued {
-		h.queued = true
-		p.toSend = append(p.toSend, h)
+func (s *Shard) enqueue(host *Host, o Command) {
+	host.commands = append(host.commands, o)
+	if !host.inSendList {
+		host.inSendList = true
+		s.hostsWithCommands = append(s.hostsWithCommands, host)
 	}
 }
 
-// sendOrders sends what hosts should do now, and keeps those it can't reach yet.
-func (c *Core) sendOrders(p *part) {
-	kept := p.toSend[:0]
-	for _, h := range p.toSend {
-		if c.flushOrders(p, h); len(h.queue) > 0 && p.hosts[h.name] == h {
-			kept = append(kept, h)
+// sendCommands sends what hosts should do now, and keeps those it can't reach yet.
+func (c *Core) sendCommands(shard *Shard) {
+	kept := shard.hostsWithCommands[:0]
+	for _, host := range shard.hostsWithCommands {
+		if c.flushCommands(shard, host); len(host.commands) > 0 && shard.hosts[host.name] == host {
+			kept = append(kept, host)
 		} else {
-			h.queued = false
+			host.inSendList = false
 		}
 	}
-	p.toSend = kept
+	shard.hostsWithCommands = kept
 }
 
-// leewayNow lets a task that saves be ended when its time is up.
-func (c *Core) leewayNow(t *task) float64 {
-	if t.leeway > 0 && c.now > t.haltAt+duration(t.leeway)+time.Second {
+// remainingGracePeriod lets a task that saves be ended when its time is up.
+func (c *Core) remainingGracePeriod(task *Task) float64 {
+	if task.gracePeriod > 0 && c.now > task.stopRequestedAt+duration(task.gracePeriod)+time.Second {
 		return 0
 	}
-	return t.leeway
+	return task.gracePeriod
 }
 
-func (c *Core) settleAll(p *part, h *host, which func(*task) bool) {
-	for _, id := range sortedTasks(h.tasks) {
-		t := h.tasks[id]
-		if t != nil && t.phase == onHost && which(t) {
-			c.settle(p, t, false)
+func (c *Core) confirmAllExits(shard *Shard, host *Host, which func(*Task) bool) {
+	for _, id := range sortedTasks(host.tasks) {
+		task := host.tasks[id]
+		if task != nil && task.phase == taskPlaced && which(task) {
+			c.confirmExit(shard, task, false)
 		}
 	}
 }
 
-// flushOrders sends a host what it should do now, straight to its worker.
-func (c *Core) flushOrders(p *part, h *host) {
-	if len(h.queue) == 0 || h.busy || h.addr == "" || h.session == 0 || h.state != up || h.expired {
+// flushCommands sends a host what it should do now, straight to its worker.
+func (c *Core) flushCommands(shard *Shard, host *Host) {
+	if len(host.commands) == 0 || host.commandPending || host.address == "" || host.incarnation == 0 || host.state != hostUp || host.leaseExpired {
 		return
 	}
-	n := min(len(h.queue), 100)
-	var orders []Order
-	for _, o := range h.queue[:n] {
-		if o.Verb == Launch {
-			t := h.tasks[o.Task]
-			if t == nil || t.attempt != o.Attempt || t.halting || t.phase != onHost || !c.mayStart() {
+	n := min(len(host.commands), 100)
+	var orders []Command
+	for _, o := range host.commands[:n] {
+		if o.Verb == VerbLaunch {
+			task := host.tasks[o.Task]
+			if task == nil || task.attempt != o.Attempt || task.stopping || task.phase != taskPlaced || !c.mayStartTasks() {
 				continue
 			}
-			t.sent = true
-			h.unsure[launchKey{o.Task, o.Attempt}] = launch{p.token, h.session}
+			task.launchSent = true
+			host.launchesInFlight[launchKey{o.Task, o.Attempt}] = sentLaunch{shard.token, host.incarnation}
 		}
 		orders = append(orders, o)
 	}
-	h.queue = append(h.queue[:0], h.queue[n:]...)
+	host.commands = append(host.commands[:0], host.commands[n:]...)
 	if len(orders) == 0 {
 		return
 	}
-	h.busy = true
-	token := p.token
-	tenure := p.tenure
-	c.call(OrdersOp{h.addr, token, h.session, orders}, func(r any) {
-		h.busy = false
-		if !p.mine || p.tenure != tenure {
+	host.commandPending = true
+	token := shard.token
+	tenure := shard.term
+	c.call(SendCommands{host.address, token, host.incarnation, orders}, func(r any) {
+		host.commandPending = false
+		if !shard.owned || shard.term != tenure {
 			return
 		}
 		res := r.(WorkerResult)
-		c.answered(p, h, res.Outcome == OK || res.Outcome == Refused)
+		c.recordWorkerAnswer(shard, host, res.Outcome == OutcomeOK || res.Outcome == OutcomeRefused)
 		for _, o := range orders {
-			if o.Verb != Launch || res.Outcome == Unknown {
+			if o.Verb != VerbLaunch || res.Outcome == OutcomeUnknown {
 				continue
 			}
-			delete(h.unsure, launchKey{o.Task, o.Attempt})
-			if t := h.tasks[o.Task]; res.Outcome == NotSent && t != nil && t.attempt == o.Attempt && !t.answered && !t.seen {
+			delete(host.launchesInFlight, launchKey{o.Task, o.Attempt})
+			if task := host.tasks[o.Task]; res.Outcome == OutcomeNotSent && task != nil && task.attempt == o.Attempt && !task.launchInReply && !task.reported {
 				// No connection came about, so the launch has reached nobody: the
 				// task is free to start elsewhere at once.
-				c.settle(p, t, false)
+				c.confirmExit(shard, task, false)
 			}
 		}
-		if res.Outcome == NotSent || res.Outcome == Unknown {
-			h.blockUntil = max(h.blockUntil, c.now+3*time.Second)
+		if res.Outcome == OutcomeNotSent || res.Outcome == OutcomeUnknown {
+			host.blockedUntil = max(host.blockedUntil, c.now+3*time.Second)
 		}
-		if res.Report != nil && res.Report.Host == h.name {
-			c.absorb(p, h, res.Report, false)
-			if res.Outcome == Refused && res.Report.Token > p.token {
-				c.lose(p, "a worker shows a higher token")
-				c.partsView.loaded = false
+		if res.Status != nil && res.Status.Host == host.name {
+			c.applyWorkerStatus(shard, host, res.Status, false)
+			if res.Outcome == OutcomeRefused && res.Status.Token > shard.token {
+				c.loseShard(shard, "a worker shows a higher token")
+				c.shardWatch.loaded = false
 			}
 		}
 	})
@@ -208,51 +208,51 @@
 // others find sockets and a zone of machines that do not answer costs little. Each that does
 // not answer is tried less and less often; its report will tell when it is back.
 const (
-	leastGreets  = 64 // at a time, however few calls it may have open
-	greetAgain   = 2 * time.Second
-	greetSlowest = 3 // doublings
+	minProbes         = 64 // at a time, however few calls it may have open
+	probeInterval     = 2 * time.Second
+	maxProbeDoublings = 3 // doublings
 )
 
-// greet makes a worker known to its new owner: an empty order with the new
+// probe makes a worker known to its new owner: an empty order with the new
 // token, so that it drops what a stale owner says and shows that it hears me.
 // A worker that has not reported yet is asked for its session first. An owner that is
 // overloaded leaves it at the answers to reports, which carry the token as well.
-func (c *Core) greet(p *part, h *host) {
-	if h.token >= p.tenure || h.greeting || h.addr == "" || c.now < h.greetAt || h.state == returning || c.overloaded() || c.greets >= max(c.cfg.WorkerCalls/2, leastGreets) {
+func (c *Core) probe(shard *Shard, host *Host) {
+	if host.token >= shard.term || host.probing || host.address == "" || c.now < host.nextProbeAt || host.state == hostReturning || c.isOverloaded() || c.openProbes >= max(c.cfg.MaxWorkerCalls/2, minProbes) {
 		return
 	}
-	c.greets++
-	h.greeting, h.greetAt = true, c.now+greetAgain<<min(h.greeted, greetSlowest)
+	c.openProbes++
+	host.probing, host.nextProbeAt = true, c.now+probeInterval<<min(host.failedProbes, maxProbeDoublings)
 	over := func() {
-		c.greets--
-		h.greeting = false
+		c.openProbes--
+		host.probing = false
 	}
-	tenure, token := p.tenure, p.token
+	tenure, token := shard.term, shard.token
 	hear := func(r any) bool {
-		if !p.mine || p.tenure != tenure {
+		if !shard.owned || shard.term != tenure {
 			return false
 		}
 		res := r.(WorkerResult)
-		heard := res.Report != nil && res.Report.Host == h.name
-		c.answered(p, h, heard)
-		h.greeted++
+		heard := res.Status != nil && res.Status.Host == host.name
+		c.recordWorkerAnswer(shard, host, heard)
+		host.failedProbes++
 		if heard {
-			h.greeted = 0
-			c.absorb(p, h, res.Report, false)
+			host.failedProbes = 0
+			c.applyWorkerStatus(shard, host, res.Status, false)
 		}
-		return heard && p.mine && p.tenure == tenure
+		return heard && shard.owned && shard.term == tenure
 	}
 	order := func() {
-		c.call(OrdersOp{h.addr, token, h.session, nil}, func(r any) {
+		c.call(SendCommands{host.address, token, host.incarnation, nil}, func(r any) {
 			over()
 			hear(r)
 		})
 	}
-	if h.session > 0 {
+	if host.incarnation > 0 {
 		order()
 		return
 	}
-	c.call(ShowOp{h.addr}, func(r any) {
+	c.call(ReadWorkerStatus{host.address}, func(r any) {
 		if hear(r) {
 			order()
 		} else {
@@ -261,21 +261,21 @@
 	})
 }
 
-// checkLease settles a silent worker's tasks once its lease must have run out:
+// checkWorkerLease settles a silent worker's tasks once its lease must have run out:
 // only I could have renewed it since it acknowledged my token, and the last
 // time I did was my last answer. Clocks may drift apart.
-func (c *Core) checkLease(p *part, h *host) {
-	if h.expired || h.acked == 0 || h.busy {
+func (c *Core) checkWorkerLease(shard *Shard, host *Host) {
+	if host.leaseExpired || host.confirmedAt == 0 || host.commandPending {
 		return
 	}
-	last := max(h.acked, h.lastAnswer)
-	if c.now < last+c.cfg.Lease+c.cfg.Lease/500+1500*time.Millisecond {
+	last := max(host.confirmedAt, host.lastAnswer)
+	if c.now < last+c.cfg.WorkerLease+c.cfg.WorkerLease/500+1500*time.Millisecond {
 		return
 	}
-	h.expired = true
-	h.queue = nil
-	clear(h.unsure)
-	clear(h.reported)
-	c.note(1, "lease of host ran out", "host", h.name, "part", p.name, "tasks", len(h.tasks))
-	c.settleAll(p, h, func(*task) bool { return true })
+	host.leaseExpired = true
+	host.commands = nil
+	clear(host.launchesInFlight)
+	clear(host.reported)
+	c.log(1, "lease of host ran out", "host", host.name, "part", shard.name, "tasks", len(host.tasks))
+	c.confirmAllExits(shard, host, func(*Task) bool { return true })
 }
--- a/internal/core/moves.go
+++ b/internal/core/moves.go
@@ -12,226 +12,226 @@
 // moved there: what is known of another part is a moment old.
 const moveGain = 4.0
 
-// maybeMove hands waiting tasks that find no room soon to a part that has some
+// maybeRebalance hands waiting tasks that find no room soon to a part that has some
 // now. They are on no machine for certain; one transaction on both slices and
 // the job changes hands.
-func (c *Core) maybeMove(p *part) {
-	if p.moving || c.now < p.moveAt || p.committing || p.claiming || p.handingOver || len(p.refreshing) > 0 || !c.mayStart() {
+func (c *Core) maybeRebalance(shard *Shard) {
+	if shard.movePending || c.now < shard.nextMoveAt || shard.txnPending || shard.claiming || shard.handingOver || len(shard.unknownKeys) > 0 || !c.mayStartTasks() {
 		return
 	}
-	dark := c.dark(p) // machines that should be up any moment are not heard either
-	for _, n := range p.shortage {
-		j := n.job
-		s := p.slices[j.id]
-		if s == nil || n.after < moveGain && !dark || !movable(j) || s.busy || len(s.settled) > 0 || c.now < s.moveAt {
+	dark := c.noHeartbeats(shard) // machines that should be up any moment are not heard either
+	for _, n := range shard.unplaced {
+		job := n.job
+		assignment := shard.assignments[job.id]
+		if assignment == nil || n.startsIn < moveGain && !dark || !movable(job) || assignment.completing || len(assignment.unrecordedExits) > 0 || c.now < assignment.nextMoveAt {
 			continue
 		}
-		to, count := c.betterPart(p, s, n)
-		if e, ok := p.export[j.id]; ok && to == nil {
+		to, count := c.betterShard(shard, assignment, n)
+		if e, ok := shard.exports[job.id]; ok && to == nil {
 			to, count = e.to, min(e.tasks, n.tasks, 64)
-			delete(p.export, j.id)
+			delete(shard.exports, job.id)
 		}
 		if to != nil {
-			s.moveAt = c.now + 5*time.Second
-			c.move(p, to, s, count)
+			assignment.nextMoveAt = c.now + 5*time.Second
+			c.moveTasks(shard, to, assignment, count)
 			return
 		}
 	}
-	p.moveAt = c.now + 500*time.Millisecond
+	shard.nextMoveAt = c.now + 500*time.Millisecond
 }
 
 // movable says whether a job's tasks may go to any part.
-func movable(j *job) bool {
-	return j.spec.Zone == "" && !j.spec.OneZone && !j.spec.Gang && !j.spec.Apart
+func movable(j *Job) bool {
+	return j.spec.Zone == "" && !j.spec.OneZone && !j.spec.Gang && !j.spec.SpreadZones
 }
 
-// betterPart finds a part of another owner, or another of mine, with room for
+// betterShard finds a part of another owner, or another of mine, with room for
 // some of the tasks now, and how many.
-func (c *Core) betterPart(p *part, s *slice, n need) (*part, int) {
-	j := s.job
-	if c.dark(p) {
-		return c.leastBusy(p, j), min(n.tasks, 64)
+func (c *Core) betterShard(shard *Shard, assignment *Assignment, n unplacedWork) (*Shard, int) {
+	job := assignment.job
+	if c.noHeartbeats(shard) {
+		return c.leastBusyShard(shard, job), min(n.tasks, 64)
 	}
-	var best *part
+	var best *Shard
 	most := 0
-	now, typ, backfills, at := seconds(c.now), c.usualType(j), c.backfills(j), 32
+	now, typ, backfills, at := seconds(c.now), c.usualType(job), c.isBackfill(job), 32
 	if typ < 0 {
 		return nil, 0
 	}
-	if backfills && c.leftOut(s) {
-		backfills, at = false, beginWith // a few may go where they may not as backfill, and start there
+	if backfills && c.hasWaitedTooLong(assignment) {
+		backfills, at = false, overdueBackfillTasks // a few may go where they may not as backfill, and start there
 	}
-	for _, q := range c.parts {
-		if q == p || !c.current(q) {
+	for _, other := range c.shards {
+		if other == shard || !c.viewIsCurrent(other) {
 			continue
 		}
 		room := 0.0
 		if backfills {
-			if room = c.backfillRoomOn(q, typ); room < max(c.takes(j.spec.Need, typ), 1) {
+			if room = c.backfillRoomOn(other, typ); room < max(c.coresTaken(job.spec.Need, typ), 1) {
 				continue
 			}
 		}
 		var devices []*plan.Device
-		for _, d := range c.partDevices(q) {
+		for _, d := range c.shardDevices(other) {
 			devices = append(devices, d.Device)
 		}
-		fits, step := 0, c.step(j)
+		fits, step := 0, c.planStep(job)
 		for _, d := range devices {
 			if step.Allowed(d.Kind) {
 				fits += d.FreeFor(step, now, now+1)
 			}
 		}
 		if backfills {
-			fits = min(fits, count(room/c.takes(j.spec.Need, typ)))
+			fits = min(fits, wholeTasks(room/c.coresTaken(job.spec.Need, typ)))
 		}
 		if fits > most {
-			best, most = q, fits
+			best, most = other, fits
 		}
 	}
 	return best, min(most, n.tasks, at)
 }
 
-// current says whether a part is known as it is now: by own knowledge, or by its
+// viewIsCurrent says whether a part is known as it is now: by own knowledge, or by its
 // owner's word of a moment ago.
-func (c *Core) current(q *part) bool {
-	if q.mine {
-		return q.loaded
+func (c *Core) viewIsCurrent(other *Shard) bool {
+	if other.owned {
+		return other.loaded
 	}
-	return q.view != nil && c.now <= q.viewAt+1500*time.Millisecond
+	return other.view != nil && c.now <= other.viewAt+1500*time.Millisecond
 }
 
-// leastBusy is the part with the shortest queue for a job's tasks, of those whose
+// leastBusyShard is the part with the shortest queue for a job's tasks, of those whose
 // workers are heard. It takes in what waits in a dark part, room or not.
-func (c *Core) leastBusy(p *part, j *job) *part {
-	var best *part
+func (c *Core) leastBusyShard(shard *Shard, job *Job) *Shard {
+	var best *Shard
 	least := 0.0
-	typ := c.usualType(j)
-	for _, q := range c.parts {
-		if q == p || typ < 0 || c.darkFor(q) || !c.current(q) || !c.zoneHolds(j, q) {
+	typ := c.usualType(job)
+	for _, other := range c.shards {
+		if other == shard || typ < 0 || c.reportsNoHeartbeats(other) || !c.viewIsCurrent(other) || !c.zoneHolds(job, other) {
 			continue
 		}
-		if wait := c.queueFor(q, j.spec.Priority)[typ]; best == nil || wait < least {
-			best, least = q, wait
+		if wait := c.queueSeconds(other, job.spec.Priority)[typ]; best == nil || wait < least {
+			best, least = other, wait
 		}
 	}
 	return best
 }
 
-// move carries out a move: the other part's slice is read, then both change
+// moveTasks carries out a move: the other part's slice is read, then both change
 // together.
-func (c *Core) move(p, to *part, s *slice, count int) {
-	j, token := s.job, p.token
-	p.moving = true
-	key := sliceKey(to.name, j.id)
-	c.read(key, true, func(res ReadResult) {
-		p.moving = false
-		if res.Outcome != OK || !p.mine || p.token != token || p.committing || p.claiming || p.handingOver ||
-			len(p.refreshing) > 0 || p.slices[j.id] != s || j.standing != Pending || len(s.settled) > 0 {
+func (c *Core) moveTasks(shard, to *Shard, assignment *Assignment, count int) {
+	job, token := assignment.job, shard.token
+	shard.movePending = true
+	key := assignmentKey(to.name, job.id)
+	c.readKey(key, true, func(res ReadResult) {
+		shard.movePending = false
+		if res.Outcome != OutcomeOK || !shard.owned || shard.token != token || shard.txnPending || shard.claiming || shard.handingOver ||
+			len(shard.unknownKeys) > 0 || shard.assignments[job.id] != assignment || job.state != JobPending || len(assignment.unrecordedExits) > 0 {
 			return
 		}
-		for _, t := range s.tasks {
-			if t.phase == placing {
+		for _, task := range assignment.tasks {
+			if task.phase == taskPlacing {
 				return // the slice is about to change by itself
 			}
 		}
-		ids := s.waiting.clone().first(min(count, s.waiting.count()))
+		ids := assignment.waiting.clone().first(min(count, assignment.waiting.count()))
 		if len(ids) == 0 {
 			return
 		}
-		var v sliceValue
+		var v assignmentRecord
 		if res.Found && json.Unmarshal(res.Item.Value, &v) != nil {
 			return
 		}
-		split := maps.Clone(j.split)
+		split := maps.Clone(job.split)
 		split[to.name] = nil
 		for _, i := range ids {
 			v.Waiting.add(i)
 		}
-		v.Next = max(v.Next, s.next) // an attempt is never given out twice
-		moved := *j
-		moved.split, moved.moves = split, j.moves+1
-		if !c.holdsMoved(&moved, &v) {
+		v.LastAttempt = max(v.LastAttempt, assignment.lastAttempt) // an attempt is never given out twice
+		moved := *job
+		moved.split, moved.moves = split, job.moves+1
+		if !c.fitsAfterMove(&moved, &v) {
 			return
 		}
 		for _, i := range ids {
-			s.waiting.remove(i)
+			assignment.waiting.remove(i)
 		}
-		empty := s.complete() && len(s.done) == 0
+		empty := assignment.complete() && len(assignment.done) == 0
 		if empty {
-			delete(split, p.name)
+			delete(split, shard.name)
 		}
-		v.Job, v.Stamp = moved.stored(""), 0
-		theirs, mineValue := c.encodeSlice(&v), c.encodeSlice(s.valueOf(&moved, 0))
+		v.Job, v.JobRevision = moved.record(""), 0
+		theirs, mineValue := c.encodeAssignment(&v), c.encodeAssignment(assignment.record(&moved, 0))
 		if empty {
 			mineValue = nil
 		}
-		value := moved.value("")
-		w := &writing{part: p, slices: map[string]*slice{j.id: s},
-			news:  []Item{{Key: j.key(), Value: value}},
-			moved: []Item{{Key: key, Value: theirs}}}
+		value := moved.encode("")
+		txn := &pendingTxn{shard: shard, assignments: map[string]*Assignment{job.id: assignment},
+			jobChanges:       []Item{{Key: job.key(), Value: value}},
+			movedAssignments: []Item{{Key: key, Value: theirs}}}
 		if empty {
-			w.slices, w.drops = nil, []string{j.id}
+			txn.assignments, txn.droppedJobs = nil, []string{job.id}
 		}
-		stamp := s.stamp
-		w.undo = func() {
+		stamp := assignment.revision
+		txn.onRollBack = func() {
 			for _, i := range ids {
-				if s.stamp == stamp && s.tasks[i] == nil && !s.done.has(i) {
-					s.waiting.add(i)
+				if assignment.revision == stamp && assignment.tasks[i] == nil && !assignment.done.has(i) {
+					assignment.waiting.add(i)
 				}
 			}
 		}
-		w.txn.Guards = []Guard{{p.key(), p.stamp}, {sliceKey(p.name, j.id), s.stamp}, {j.key(), j.stamp}, {key, res.Item.Stamp}}
-		w.txn.Apply = []Set{{Key: sliceKey(p.name, j.id), Value: mineValue}, {Key: key, Value: theirs}, {Key: j.key(), Value: value}}
-		delete(p.dirty, j.id)
-		c.forgetDemand(p, j, len(ids))
-		c.stats.Moves += uint64(len(ids))
-		c.note(1, "tasks moved", "job", j.id, "tasks", len(ids), "from", p.name, "to", to.name, "token", p.token)
-		c.write(w)
+		txn.txn.Conditions = []Condition{{shard.key(), shard.revision}, {assignmentKey(shard.name, job.id), assignment.revision}, {job.key(), job.revision}, {key, res.Item.Revision}}
+		txn.txn.Mutations = []Mutation{{Key: assignmentKey(shard.name, job.id), Value: mineValue}, {Key: key, Value: theirs}, {Key: job.key(), Value: value}}
+		delete(shard.dirty, job.id)
+		c.forgetDemand(shard, job, len(ids))
+		c.stats.Rebalanced += uint64(len(ids))
+		c.log(1, "tasks moved", "job", job.id, "tasks", len(ids), "from", shard.name, "to", to.name, "token", shard.token)
+		c.sendTxn(txn)
 	})
 }
 
 // forgetDemand takes tasks that leave a part out of what its past demand asks room for:
 // dear machines were hired here for a peak that had gone elsewhere.
-func (c *Core) forgetDemand(p *part, j *job, tasks int) {
-	typ := c.usualType(j)
-	if typ < 0 || c.backfills(j) {
+func (c *Core) forgetDemand(shard *Shard, job *Job, tasks int) {
+	typ := c.usualType(job)
+	if typ < 0 || c.isBackfill(job) {
 		return
 	}
 	i := poolOf(c.pools(), typ)
-	for _, s := range p.demand {
+	for _, s := range shard.demandSamples {
 		if i < len(s.cores) {
-			s.cores[i] = max(s.cores[i]-float64(tasks)*c.takes(j.spec.Need, typ), 0)
-			if !j.spec.Spot {
-				s.plain[i] = max(s.plain[i]-float64(tasks)*c.takes(j.spec.Need, typ), 0)
+			s.cores[i] = max(s.cores[i]-float64(tasks)*c.coresTaken(job.spec.Need, typ), 0)
+			if !job.spec.Spot {
+				s.ordinaryCores[i] = max(s.ordinaryCores[i]-float64(tasks)*c.coresTaken(job.spec.Need, typ), 0)
 			}
 		}
 	}
 }
 
-// movedHeardBy is how long after word of a job's move its slices may still be told of it.
-const movedHeardBy = time.Second
+// moveAnnouncedWithin is how long after word of a job's move its slices may still be told of it.
+const moveAnnouncedWithin = time.Second
 
-// lookForMoved reads a slice in which nothing waits once more when tasks of its job have
+// checkForMovedTasks reads a slice in which nothing waits once more when tasks of its job have
 // moved and it was not told of it: the answer to the move, or the word of it, was lost.
 // Nothing else may ever write the slice, as when its replicas run, and the tasks would
 // wait unseen. Where some wait, the next placement finds out.
-func (c *Core) lookForMoved(p *part, id string) {
-	tenure := p.tenure
+func (c *Core) checkForMovedTasks(shard *Shard, id string) {
+	tenure := shard.term
 	unsure := func() bool {
-		s, j := p.slices[id], c.jobs[id]
-		return p.mine && p.loaded && p.tenure == tenure && s != nil && j != nil && s.stamp < j.stamp && len(s.waiting) == 0
+		assignment, job := shard.assignments[id], c.jobs[id]
+		return shard.owned && shard.loaded && shard.term == tenure && assignment != nil && job != nil && assignment.revision < job.revision && len(assignment.waiting) == 0
 	}
-	c.after(movedHeardBy, func() {
+	c.after(moveAnnouncedWithin, func() {
 		switch {
 		case !unsure():
-		case p.committing:
-			c.lookForMoved(p, id)
+		case shard.txnPending:
+			c.checkForMovedTasks(shard, id)
 		default:
-			c.readSurely(sliceKey(p.name, id), unsure, func(res ReadResult) {
-				if p.committing {
-					c.lookForMoved(p, id) // what was read may be from before or after it
-				} else if res.Found && res.Item.Stamp > p.slices[id].stamp {
-					c.sliceSeen(p, id, res.Item.Value, res.Item.Stamp)
+			c.readUntilAnswered(assignmentKey(shard.name, id), unsure, func(res ReadResult) {
+				if shard.txnPending {
+					c.checkForMovedTasks(shard, id) // what was read may be from before or after it
+				} else if res.Found && res.Item.Revision > shard.assignments[id].revision {
+					c.applyAssignmentRecord(shard, id, res.Item.Value, res.Item.Revision)
 				}
 			})
 		}
--- a/internal/core/names.go
+++ b/internal/core/names.go
@@ -1,27 +1,27 @@
 package core
 
-// names maps names to dense indices at the door.
-type names struct {
-	index map[string]int
-	list  []string
+// nameIndex maps names to dense indices at the door.
+type nameIndex struct {
+	byName map[string]int
+	names  []string
 }
 
-func (n *names) of(s string) int {
-	if i, ok := n.index[s]; ok {
+func (n *nameIndex) indexOf(s string) int {
+	if i, ok := n.byName[s]; ok {
 		return i
 	}
-	if n.index == nil {
-		n.index = map[string]int{}
+	if n.byName == nil {
+		n.byName = map[string]int{}
 	}
-	i := len(n.list)
-	n.index[s] = i
-	n.list = append(n.list, s)
+	i := len(n.names)
+	n.byName[s] = i
+	n.names = append(n.names, s)
 	return i
 }
 
-// known returns the index of a name met before, or -1.
-func (n *names) known(s string) int {
-	if i, ok := n.index[s]; ok {
+// lookup returns the index of a name met before, or -1.
+func (n *nameIndex) lookup(s string) int {
+	if i, ok := n.byName[s]; ok {
 		return i
 	}
 	return -1
--- a/internal/core/order.go
+++ b/internal/core/order.go
@@ -18,22 +18,22 @@
 
 // hostList lists a part's machines by name. The list is kept in order as
 // machines come and go: it is gone through far more often than it changes.
-func (p *part) hostList() []*host { return p.order }
+func (s *Shard) hostList() []*Host { return s.hostsByName }
 
-func (p *part) addHost(h *host) {
-	p.hosts[h.name] = h
-	i, _ := slices.BinarySearchFunc(p.order, h.name, byName)
-	p.order = slices.Insert(p.order, i, h)
+func (s *Shard) addHost(host *Host) {
+	s.hosts[host.name] = host
+	i, _ := slices.BinarySearchFunc(s.hostsByName, host.name, compareHostName)
+	s.hostsByName = slices.Insert(s.hostsByName, i, host)
 }
 
-func (p *part) dropHost(h *host) {
-	if p.hosts[h.name] != h {
+func (s *Shard) dropHost(host *Host) {
+	if s.hosts[host.name] != host {
 		return
 	}
-	delete(p.hosts, h.name)
-	if i, found := slices.BinarySearchFunc(p.order, h.name, byName); found {
-		p.order = slices.Delete(p.order, i, i+1)
+	delete(s.hosts, host.name)
+	if i, found := slices.BinarySearchFunc(s.hostsByName, host.name, compareHostName); found {
+		s.hostsByName = slices.Delete(s.hostsByName, i, i+1)
 	}
 }
 
-func byName(h *host, name string) int { return cmp.Compare(h.name, name) }
+func compareHostName(h *Host, name string) int { return cmp.Compare(h.name, name) }
