--- a/internal/core/parts.go
+++ b/internal/core/parts.go
@@ -7,298 +7,298 @@
 	"time"
 )
 
-// part is one zone's machines. Whoever holds its key in the state service
+// Shard is one zone's machines. Whoever holds its key in the state service
 // owns it; the revision of that claim is the fencing token.
-type part struct {
+type Shard struct {
 	zone int
 	name string
 
-	known     bool   // the store's view of the key has been read
-	owner     string // by the store's view; empty when free
-	stamp     uint64
-	freeSince time.Duration
-	removed   uint64 // revision at which the key was last seen gone
-	offered   bool   // its last owner named this controller
-
-	mine        bool
-	token       uint64
-	tenure      uint64 // first token of my unbroken ownership
-	claiming    bool
-	handingOver bool // told to stop: commit nothing, answer nobody
-	loading     bool
-	loaded      bool
-	blindAt     time.Duration // since when its slices are not known, if not loaded
+	recordKnown     bool   // the store's view of the key has been read
+	owner           string // by the store's view; empty when free
+	revision        uint64
+	freeSince       time.Duration
+	removedRevision uint64 // revision at which the key was last seen gone
+	offered         bool   // its last owner named this controller
+
+	owned         bool
+	token         uint64
+	term          uint64 // first token of my unbroken ownership
+	claiming      bool
+	handingOver   bool // told to stop: commit nothing, answer nobody
+	loading       bool
+	loaded        bool
+	unloadedSince time.Duration // since when its slices are not known, if not loaded
 	// What a new owner knows of its machines.
-	fleetListed bool          // the cloud's list of a moment after the claim has been read
-	freshStart  bool          // there was no work yet
-	heardAt     time.Duration // when any of its workers was last heard here
-	wasDark     bool
-
-	homeUp time.Duration // since when the home controller is seen well
-
-	hosts     map[string]*host
-	order     []*host                  // the same by name
-	toSend    []*host                  // hosts with orders
-	gone      map[string]time.Duration // machines whose return was confirmed
-	slices    map[string]*slice
-	dirty     map[string]*slice
-	finishing []*finish                // jobs of several parts to be set done
-	later     map[string]time.Duration // slices with ends to record by then
-	used      []Amount                 // by team
-
-	committing bool
-	refreshing map[string]bool
-	replan     bool
-	planAt     time.Duration
-	planNext   time.Duration // no plan before then: planning leaves room for the rest
-	sizeAt     time.Duration
-	slowSum    float64 // of machines judged by their run times
-	slowN      int
-	retryAt    time.Duration
-	reclaimAt  time.Duration // when a raised token is due, 0 for never
-
-	hireSeq int
-	hiring  []*hire
-	scarce  map[Offer]time.Duration
-	demand  []sample // of work that is no backfill
+	hostsListed     bool          // the cloud's list of a moment after the claim has been read
+	startedEmpty    bool          // there was no work yet
+	lastHeartbeatAt time.Duration // when any of its workers was last heard here
+	hadNoHeartbeats bool
+
+	homeWellSince time.Duration // since when the home controller is seen well
+
+	hosts             map[string]*Host
+	hostsByName       []*Host                  // the same by name
+	hostsWithCommands []*Host                  // hosts with orders
+	returnedHosts     map[string]time.Duration // machines whose return was confirmed
+	assignments       map[string]*Assignment
+	dirty             map[string]*Assignment
+	completions       []*completion            // jobs of several parts to be set done
+	recordBy          map[string]time.Duration // slices with ends to record by then
+	teamUsage         []Resources              // by team
+
+	txnPending    bool
+	unknownKeys   map[string]bool
+	needsPlan     bool
+	nextSweepAt   time.Duration
+	nextPlanAt    time.Duration // no plan before then: planning leaves room for the rest
+	nextSizingAt  time.Duration
+	slownessSum   float64 // of machines judged by their run times
+	slownessCount int
+	retryAt       time.Duration
+	raiseTokenAt  time.Duration // when a raised token is due, 0 for never
+
+	rentalSeq      int
+	rentals        []*rental
+	exhaustedUntil map[MachineKind]time.Duration
+	demandSamples  []demandSample // of work that is no backfill
 	// When this ownership saw its first demand.
-	demandFrom   time.Duration
-	keep         kept
-	backfillRoom []float64 // what backfill may take, by pool, as of backfillAt
-	backfillAt   time.Duration
-	shortage     []need
-	export       map[string]export // by job
-	loadedAt     time.Duration
-	loadAt       time.Duration // when the load is logged next
-
-	moving    bool // tasks are on their way to another part
-	moveAt    time.Duration
-	view      *PartView // by the owner's gossip
-	viewAt    time.Duration
-	devices   []device // the view as the programme sees it
-	devicesAt time.Duration
-	queue     []Backlog // of a part owned here, as of queueAt
-	queueAt   time.Duration
-	dealt     []dealt // from here, lately
+	demandFrom     time.Duration
+	reserve        backfillReserve
+	backfillRoom   []float64 // what backfill may take, by pool, as of backfillAt
+	backfillRoomAt time.Duration
+	unplaced       []unplacedWork
+	exports        map[string]taskExport // by job
+	loadedAt       time.Duration
+	nextLoadLogAt  time.Duration // when the load is logged next
+
+	movePending   bool // tasks are on their way to another part
+	nextMoveAt    time.Duration
+	view          *ShardView // by the owner's gossip
+	viewAt        time.Duration
+	devices       []device // the view as the programme sees it
+	devicesAt     time.Duration
+	backlog       []Backlog // of a part owned here, as of queueAt
+	backlogAt     time.Duration
+	distributions []distribution // from here, lately
 }
 
-type partValue struct {
+type shardRecord struct {
 	Owner string `json:"owner"`
 }
 
-func newPart(zone int, name string) *part {
-	return &part{zone: zone, name: name, hosts: map[string]*host{}, gone: map[string]time.Duration{},
-		slices: map[string]*slice{}, dirty: map[string]*slice{}, later: map[string]time.Duration{}, scarce: map[Offer]time.Duration{},
-		refreshing: map[string]bool{}, export: map[string]export{}}
+func newShard(zone int, name string) *Shard {
+	return &Shard{zone: zone, name: name, hosts: map[string]*Host{}, returnedHosts: map[string]time.Duration{},
+		assignments: map[string]*Assignment{}, dirty: map[string]*Assignment{}, recordBy: map[string]time.Duration{}, exhaustedUntil: map[MachineKind]time.Duration{},
+		unknownKeys: map[string]bool{}, exports: map[string]taskExport{}}
 }
 
-func (p *part) key() string { return "part/" + p.name }
+func (s *Shard) key() string { return "part/" + s.name }
 
-// keepLease holds this controller's lease at the state service.
-func (c *Core) keepLease() {
-	if c.leaseBusy || c.now < c.leaseRetry {
+// maintainLease holds this controller's lease at the state service.
+func (c *Core) maintainLease() {
+	if c.leasePending || c.now < c.leaseRetryAt {
 		return
 	}
 	sent := c.now
-	if c.lease == 0 {
-		c.leaseBusy = true
-		c.call(HoldOp{c.cfg.Knobs.Hold}, func(r any) {
-			c.leaseBusy = false
-			res := r.(HoldResult)
-			c.store(sent, res.Outcome == OK)
-			if res.Outcome != OK {
-				c.leaseRetry = c.now + 500*time.Millisecond
+	if c.leaseID == 0 {
+		c.leasePending = true
+		c.call(GrantLease{c.cfg.Tuning.LeaseTTL}, func(r any) {
+			c.leasePending = false
+			res := r.(LeaseResult)
+			c.recordStoreOutcome(sent, res.Outcome == OutcomeOK)
+			if res.Outcome != OutcomeOK {
+				c.leaseRetryAt = c.now + 500*time.Millisecond
 				return
 			}
-			c.lease, c.leaseSent = res.Lease, sent
+			c.leaseID, c.leaseRenewedAt = res.Lease, sent
 		})
 		return
 	}
-	if c.now < c.leaseSent+c.cfg.Knobs.Hold/4 {
+	if c.now < c.leaseRenewedAt+c.cfg.Tuning.LeaseTTL/4 {
 		return
 	}
-	c.leaseBusy = true
-	lease := c.lease
-	c.call(RenewOp{lease}, func(r any) {
-		c.leaseBusy = false
+	c.leasePending = true
+	lease := c.leaseID
+	c.call(RenewLease{lease}, func(r any) {
+		c.leasePending = false
 		res := r.(RenewResult)
-		c.store(sent, res.Outcome == OK || res.Outcome == Refused)
+		c.recordStoreOutcome(sent, res.Outcome == OutcomeOK || res.Outcome == OutcomeRefused)
 		switch res.Outcome {
-		case OK:
-			c.leaseSent = sent
-		case Refused:
+		case OutcomeOK:
+			c.leaseRenewedAt = sent
+		case OutcomeRefused:
 			// The lease has ended and with it the keys of my parts. Another
 			// controller may have held them since.
-			c.note(2, "lease ended", "lease", lease)
-			c.lease = 0
-			for _, p := range c.parts {
-				if p.mine {
-					c.lose(p, "lease ended")
+			c.log(2, "lease ended", "lease", lease)
+			c.leaseID = 0
+			for _, shard := range c.shards {
+				if shard.owned {
+					c.loseShard(shard, "lease ended")
 				}
-				p.known = false
+				shard.recordKnown = false
 			}
-			c.partsView.loaded = false
+			c.shardWatch.loaded = false
 		default:
-			c.leaseRetry = c.now + 300*time.Millisecond
+			c.leaseRetryAt = c.now + 300*time.Millisecond
 		}
 	})
 }
 
-// follow keeps a view of a prefix: a listing first, then its changes. The
+// watch keeps a view of a prefix: a listing first, then its changes. The
 // view is complete up to the moment the last answered call was sent; a call
 // that is still open proves nothing.
-func (c *Core) follow(v *view) {
-	if v.busy || c.now < v.nextAt {
+func (c *Core) watch(watch *watchState) {
+	if watch.pending || c.now < watch.nextCallAt {
 		return
 	}
-	v.busy = true
+	watch.pending = true
 	sent := c.now
-	if !v.loaded {
+	if !watch.loaded {
 		// The jobs' view starts at the present; whatever this controller needs
 		// of the past it reads key by key.
-		c.call(ListOp{"part/"}, func(r any) {
-			v.busy = false
+		c.call(ListKeys{"part/"}, func(r any) {
+			watch.pending = false
 			res := r.(ListResult)
-			c.store(sent, res.Outcome == OK)
-			if res.Outcome != OK {
-				v.nextAt = c.now + 300*time.Millisecond
+			c.recordStoreOutcome(sent, res.Outcome == OutcomeOK)
+			if res.Outcome != OutcomeOK {
+				watch.nextCallAt = c.now + 300*time.Millisecond
 				return
 			}
-			v.loaded, v.ledger, v.fresh, v.since, v.started = true, res.Ledger, sent, sent, true
-			if v == &c.partsView {
-				c.listedParts(res.Items)
+			watch.loaded, watch.revision, watch.knownUntil, watch.knownFrom, watch.hasData = true, res.Revision, sent, sent, true
+			if watch == &c.shardWatch {
+				c.applyShardList(res.Items)
 			} else {
-				c.rereadLive()
-				for _, p := range c.parts {
-					if p.loaded {
-						p.loaded, p.blindAt = false, c.now // its slices are listed again
+				c.rereadUnfinishedJobs()
+				for _, shard := range c.shards {
+					if shard.loaded {
+						shard.loaded, shard.unloadedSince = false, c.now // its slices are listed again
 					}
 				}
 			}
 		})
 		return
 	}
-	c.call(FollowOp{v.prefix, v.ledger, c.followFor(v)}, func(r any) {
-		v.busy = false
-		res := r.(FollowResult)
+	c.call(WatchKeys{watch.prefix, watch.revision, c.watchTimeout(watch)}, func(r any) {
+		watch.pending = false
+		res := r.(WatchResult)
 		switch res.Outcome {
-		case OK:
-			v.ledger = max(v.ledger, res.Ledger)
-			for _, n := range res.News {
-				c.news(n)
+		case OutcomeOK:
+			watch.revision = max(watch.revision, res.Revision)
+			for _, n := range res.Changes {
+				c.applyChange(n)
 			}
-			v.fresh = sent
-			c.store(sent, true)
-			if len(res.News) > 0 {
-				v.nextAt = c.now + c.pauseFor(v) // with many jobs each look would bring some
+			watch.knownUntil = sent
+			c.recordStoreOutcome(sent, true)
+			if len(res.Changes) > 0 {
+				watch.nextCallAt = c.now + c.watchPause(watch) // with many jobs each look would bring some
 			}
-		case Refused:
-			c.store(sent, true)
-			v.loaded = false
+		case OutcomeRefused:
+			c.recordStoreOutcome(sent, true)
+			watch.loaded = false
 		default:
-			c.store(sent, false)
-			v.nextAt = c.now + 300*time.Millisecond
+			c.recordStoreOutcome(sent, false)
+			watch.nextCallAt = c.now + 300*time.Millisecond
 		}
 	})
 }
 
-func (c *Core) news(n Item) {
+func (c *Core) applyChange(n Item) {
 	if zone, ok := strings.CutPrefix(n.Key, "part/"); ok {
-		c.partSeen(c.parts[c.zone(zone)], n.Value, n.Stamp)
+		c.applyShardRecord(c.shards[c.zoneIndex(zone)], n.Value, n.Revision)
 	} else if id, ok := strings.CutPrefix(n.Key, "job/"); ok && n.Value != nil {
-		c.learnJob(id, n.Value, n.Stamp)
+		c.applyJobRecord(id, n.Value, n.Revision)
 	}
 }
 
-func (c *Core) listedParts(items []Item) {
+func (c *Core) applyShardList(items []Item) {
 	seen := map[string]bool{}
 	for _, it := range items {
 		zone := strings.TrimPrefix(it.Key, "part/")
 		seen[zone] = true
-		c.partSeen(c.parts[c.zone(zone)], it.Value, it.Stamp)
+		c.applyShardRecord(c.shards[c.zoneIndex(zone)], it.Value, it.Revision)
 	}
-	for _, p := range c.parts {
-		if !seen[p.name] && !p.claiming {
-			c.partSeen(p, nil, c.partsView.ledger)
+	for _, shard := range c.shards {
+		if !seen[shard.name] && !shard.claiming {
+			c.applyShardRecord(shard, nil, c.shardWatch.revision)
 		}
 	}
 }
 
-// partSeen applies what the store says of a part. A deletion carries the
+// applyShardRecord applies what the store says of a part. A deletion carries the
 // revision of the deletion.
-func (c *Core) partSeen(p *part, value []byte, stamp uint64) {
-	if stamp < p.stamp || p.claiming {
+func (c *Core) applyShardRecord(shard *Shard, value []byte, stamp uint64) {
+	if stamp < shard.revision || shard.claiming {
 		return
 	}
 	if value == nil {
-		if p.mine && stamp > p.token {
-			c.lose(p, "key removed")
+		if shard.owned && stamp > shard.token {
+			c.loseShard(shard, "key removed")
 		}
-		if p.mine {
+		if shard.owned {
 			return
 		}
-		p.known, p.removed = true, max(p.removed, stamp)
-		if p.owner != "" || p.freeSince == 0 {
-			p.freeSince = c.now
+		shard.recordKnown, shard.removedRevision = true, max(shard.removedRevision, stamp)
+		if shard.owner != "" || shard.freeSince == 0 {
+			shard.freeSince = c.now
 		}
-		p.owner, p.stamp = "", 0
+		shard.owner, shard.revision = "", 0
 		return
 	}
-	var v partValue
+	var v shardRecord
 	if json.Unmarshal(value, &v) != nil {
 		return
 	}
-	if p.mine && stamp > p.token {
-		c.lose(p, "claimed by "+v.Owner)
+	if shard.owned && stamp > shard.token {
+		c.loseShard(shard, "claimed by "+v.Owner)
 	}
-	p.known, p.owner, p.stamp, p.freeSince = true, v.Owner, stamp, 0
+	shard.recordKnown, shard.owner, shard.revision, shard.freeSince = true, v.Owner, stamp, 0
 }
 
-// lose ends ownership at once.
-func (c *Core) lose(p *part, why string) {
-	c.note(2, "part lost", "part", p.name, "token", p.token, "why", why)
-	fresh := newPart(p.zone, p.name)
-	fresh.hireSeq = p.hireSeq
-	*p = *fresh
+// loseShard ends ownership at once.
+func (c *Core) loseShard(shard *Shard, why string) {
+	c.log(2, "part lost", "part", shard.name, "token", shard.token, "why", why)
+	fresh := newShard(shard.zone, shard.name)
+	fresh.rentalSeq = shard.rentalSeq
+	*shard = *fresh
 }
 
-// keepParts claims free parts and hands parts home.
-func (c *Core) keepParts() {
-	if c.lease == 0 || !c.storeWell() {
+// maintainShards claims free parts and hands parts home.
+func (c *Core) maintainShards() {
+	if c.leaseID == 0 || !c.storeReachable() {
 		return
 	}
-	for _, p := range c.parts {
+	for _, shard := range c.shards {
 		switch {
-		case p.mine:
-			c.maybeHandOver(p)
-			if !p.loaded && !p.loading {
-				c.load(p)
+		case shard.owned:
+			c.maybeHandOver(shard)
+			if !shard.loaded && !shard.loading {
+				c.loadShard(shard)
 			}
-			if p.reclaimAt > 0 && c.now >= p.reclaimAt && p.loaded && !p.committing && !p.handingOver {
-				p.reclaimAt = 0
-				if slices.ContainsFunc(p.hostList(), func(h *host) bool { return c.launchMayCome(p, h) }) {
-					c.claim(p)
+			if shard.raiseTokenAt > 0 && c.now >= shard.raiseTokenAt && shard.loaded && !shard.txnPending && !shard.handingOver {
+				shard.raiseTokenAt = 0
+				if slices.ContainsFunc(shard.hostList(), func(h *Host) bool { return c.cancelledLaunchInFlight(shard, h) }) {
+					c.claimShard(shard)
 				}
 			}
-		case !p.known || p.claiming || c.now < p.retryAt:
-		case p.owner == c.cfg.Label:
+		case !shard.recordKnown || shard.claiming || c.now < shard.retryAt:
+		case shard.owner == c.cfg.Label:
 			// My own key from an earlier life: take it up again with a new
 			// revision, so that nothing the earlier life sent counts.
-			c.claim(p)
-		case p.owner == "" && c.now >= p.freeSince+c.claimDelay(p):
-			c.claim(p)
+			c.claimShard(shard)
+		case shard.owner == "" && c.now >= shard.freeSince+c.claimDelay(shard):
+			c.claimShard(shard)
 		}
 	}
 }
 
 // home says whether a controller's own zone is the part's.
-func (c *Core) homeOf(p *part) (mine bool, other *peer) {
-	if c.cfg.Zone == p.name {
+func (c *Core) homeController(shard *Shard) (mine bool, other *Peer) {
+	if c.cfg.Zone == shard.name {
 		return true, nil
 	}
-	for _, q := range c.peers {
-		if q.Zone == p.name {
-			return false, q
+	for _, peer := range c.peers {
+		if peer.Zone == shard.name {
+			return false, peer
 		}
 	}
 	return false, nil
@@ -307,142 +307,142 @@
 // A home controller not heard for homeSilent stands in nobody's way for longer than
 // noHome.
 const (
-	homeSilent = 2 * time.Second
-	noHome     = 300 * time.Millisecond
+	homeSilentAfter = 2 * time.Second
+	noHomeDelay     = 300 * time.Millisecond
 )
 
 // claimDelay is how long a free part is left to controllers with a better
 // reason to take it: its home first, then whoever owns the fewest.
-func (c *Core) claimDelay(p *part) time.Duration {
-	if mine, _ := c.homeOf(p); mine && c.now >= c.cutOffUntil || p.offered {
+func (c *Core) claimDelay(shard *Shard) time.Duration {
+	if mine, _ := c.homeController(shard); mine && c.now >= c.isolatedUntil || shard.offered {
 		return 0
 	}
 	owned := 0
-	for _, q := range c.parts {
-		if q.mine || q.claiming {
+	for _, other := range c.shards {
+		if other.owned || other.claiming {
 			owned++
 		}
 	}
-	grace := c.cfg.Knobs.Grace
-	if _, home := c.homeOf(p); home == nil || c.now > home.heard+homeSilent {
-		grace = min(grace, noHome) // nobody to wait for, and its workers' leases run
+	grace := c.cfg.Tuning.TakeoverDelay
+	if _, home := c.homeController(shard); home == nil || c.now > home.lastHeardAt+homeSilentAfter {
+		grace = min(grace, noHomeDelay) // nobody to wait for, and its workers' leases run
 	}
-	return grace + time.Duration(owned)*700*time.Millisecond + time.Duration(c.rank())*200*time.Millisecond
+	return grace + time.Duration(owned)*700*time.Millisecond + time.Duration(c.claimRank())*200*time.Millisecond
 }
 
-func (c *Core) rank() int {
+func (c *Core) claimRank() int {
 	r := 0
-	for _, q := range c.peers {
-		if q.Label < c.cfg.Label {
+	for _, peer := range c.peers {
+		if peer.Label < c.cfg.Label {
 			r++
 		}
 	}
 	return r
 }
 
-// claim takes a part, or raises the token of one already mine.
-func (c *Core) claim(p *part) {
-	value, _ := json.Marshal(partValue{c.cfg.Label})
-	p.claiming = true
-	again := p.mine
-	t := Txn{Guards: []Guard{{p.key(), p.stamp}}, Apply: []Set{{p.key(), value, c.lease}}}
+// claimShard takes a part, or raises the token of one already mine.
+func (c *Core) claimShard(shard *Shard) {
+	value, _ := json.Marshal(shardRecord{c.cfg.Label})
+	shard.claiming = true
+	again := shard.owned
+	t := Txn{Conditions: []Condition{{shard.key(), shard.revision}}, Mutations: []Mutation{{shard.key(), value, c.leaseID}}}
 	if again {
-		p.committing = true
+		shard.txnPending = true
 	}
 	c.commit(t, true, func(res CommitResult) {
-		p.claiming = false
+		shard.claiming = false
 		if again {
-			p.committing = false
+			shard.txnPending = false
 		}
 		switch {
-		case res.Outcome == OK:
-			c.claimed(p, res.Revision, again)
+		case res.Outcome == OutcomeOK:
+			c.onShardClaimed(shard, res.Revision, again)
 			return
-		case again && res.Outcome == NotSent:
-			p.reclaimAt = c.now + time.Second // mine as before
+		case again && res.Outcome == OutcomeNotSent:
+			shard.raiseTokenAt = c.now + time.Second // mine as before
 			return
-		case res.Outcome == Refused && res.NoLease:
-			c.lease = 0
+		case res.Outcome == OutcomeRefused && res.LeaseExpired:
+			c.leaseID = 0
 		}
 		// Lost race, or nobody can tell: read what holds.
 		if again {
-			c.lose(p, "claim not confirmed")
+			c.loseShard(shard, "claim not confirmed")
 		}
-		p.known = false
-		p.retryAt = c.now + 200*time.Millisecond
-		c.rereadPart(p)
+		shard.recordKnown = false
+		shard.retryAt = c.now + 200*time.Millisecond
+		c.rereadShard(shard)
 	})
 }
 
-func (c *Core) rereadPart(p *part) {
-	c.read(p.key(), true, func(res ReadResult) {
-		if res.Outcome != OK {
-			p.retryAt = c.now + 500*time.Millisecond
-			c.partsView.loaded = false // the next listing settles it
+func (c *Core) rereadShard(shard *Shard) {
+	c.readKey(shard.key(), true, func(res ReadResult) {
+		if res.Outcome != OutcomeOK {
+			shard.retryAt = c.now + 500*time.Millisecond
+			c.shardWatch.loaded = false // the next listing settles it
 			return
 		}
-		if p.mine || p.claiming {
+		if shard.owned || shard.claiming {
 			return
 		}
 		if !res.Found {
-			p.owner, p.stamp, p.known = "", 0, true
-			p.freeSince = c.now
+			shard.owner, shard.revision, shard.recordKnown = "", 0, true
+			shard.freeSince = c.now
 			return
 		}
-		p.known = true
-		c.partSeen(p, res.Item.Value, res.Item.Stamp)
+		shard.recordKnown = true
+		c.applyShardRecord(shard, res.Item.Value, res.Item.Revision)
 	})
 }
 
-func (c *Core) claimed(p *part, revision uint64, again bool) {
-	p.mine, p.known, p.offered = true, true, false
-	p.owner, p.stamp, p.token, p.freeSince = c.cfg.Label, revision, revision, 0
+func (c *Core) onShardClaimed(shard *Shard, revision uint64, again bool) {
+	shard.owned, shard.recordKnown, shard.offered = true, true, false
+	shard.owner, shard.revision, shard.token, shard.freeSince = c.cfg.Label, revision, revision, 0
 	if !again {
-		p.tenure = revision // all else of a part not owned is as newPart made it
-		p.heardAt, p.blindAt = c.now, c.now
-		p.used = make([]Amount, len(c.limits))
-		p.committing = false
-		c.listAt = 0
+		shard.term = revision // all else of a part not owned is as newPart made it
+		shard.lastHeartbeatAt, shard.unloadedSince = c.now, c.now
+		shard.teamUsage = make([]Resources, len(c.teamConfigs))
+		shard.txnPending = false
+		c.nextListAt = 0
 		for _, q := range c.quotas {
-			q.need, q.needAt = true, c.now
+			q.mustReread, q.rereadAfter = true, c.now
 		}
 	}
-	c.note(1, "part claimed", "part", p.name, "token", p.token, "again", again)
-	for _, h := range p.hostList() {
-		h.greetAt = 0
+	c.log(1, "part claimed", "part", shard.name, "token", shard.token, "again", again)
+	for _, h := range shard.hostList() {
+		h.nextProbeAt = 0
 	}
 	if !again {
-		c.load(p)
+		c.loadShard(shard)
 	}
 }
 
-// load reads the part's slices and learns their jobs. A slice holds the job as
+// loadShard reads the part's slices and learns their jobs. A slice holds the job as
 // it was when it was written; whether that still stands is compared for many
 // jobs at once, and only those that have changed are read.
-func (c *Core) load(p *part) {
-	p.loading = true
-	tenure := p.tenure
-	valid := func() bool { return p.mine && p.tenure == tenure }
-	c.call(ListOp{"slice/" + p.name + "/"}, func(r any) {
+func (c *Core) loadShard(shard *Shard) {
+	shard.loading = true
+	tenure := shard.term
+	valid := func() bool { return shard.owned && shard.term == tenure }
+	c.call(ListKeys{"slice/" + shard.name + "/"}, func(r any) {
 		if !valid() {
 			return
 		}
 		again := func(d time.Duration) {
 			c.after(d, func() {
 				if valid() {
-					p.loading = false
+					shard.loading = false
 				}
 			})
 		}
 		res := r.(ListResult)
-		if res.Outcome != OK {
+		if res.Outcome != OutcomeOK {
 			again(300 * time.Millisecond)
 			return
 		}
 		for _, it := range res.Items {
 			// Taken for empty, its tasks would count for nobody and start again.
-			if json.Unmarshal(it.Value, &sliceValue{}) != nil {
-				c.note(2, "slice unreadable, part not served", "key", it.Key, "part", p.name, "token", p.token)
+			if json.Unmarshal(it.Value, &assignmentRecord{}) != nil {
+				c.log(2, "slice unreadable, part not served", "key", it.Key, "part", shard.name, "token", shard.token)
 				again(5 * time.Second)
 				return
 			}
@@ -452,15 +452,15 @@
 			if left--; left > 0 {
 				return
 			}
-			p.loading, p.loaded, p.replan, p.loadedAt = false, true, true, c.now
-			p.freshStart = len(res.Items) == 0
+			shard.loading, shard.loaded, shard.needsPlan, shard.loadedAt = false, true, true, c.now
+			shard.startedEmpty = len(res.Items) == 0
 			// Jobs that came after the listing, and were heard of before this.
 			for _, id := range sorted(c.jobs) {
-				if _, here := c.jobs[id].split[p.name]; here && p.slices[id] == nil {
-					c.readSlice(p, id)
+				if _, here := c.jobs[id].split[shard.name]; here && shard.assignments[id] == nil {
+					c.readAssignment(shard, id)
 				}
 			}
-			c.note(1, "part loaded", "part", p.name, "token", p.token, "slices", len(p.slices))
+			c.log(1, "part loaded", "part", shard.name, "token", shard.token, "slices", len(shard.assignments))
 		}
 		items, stamps := map[string]Item{}, map[string]uint64{}
 		jobs := map[string][]byte{}
@@ -468,22 +468,22 @@
 		for _, it := range res.Items {
 			id := it.Key[strings.LastIndexByte(it.Key, '/')+1:]
 			items[id] = it
-			var v sliceValue
+			var v assignmentRecord
 			if _ = json.Unmarshal(it.Value, &v); v.Job == nil {
 				unknown = append(unknown, id)
 				continue
 			}
-			stamps[id] = v.Stamp
-			if v.Stamp == 0 {
-				stamps[id] = it.Stamp
+			stamps[id] = v.JobRevision
+			if v.JobRevision == 0 {
+				stamps[id] = it.Revision
 			}
 			jobs[id], _ = json.Marshal(v.Job)
 			told = append(told, id)
 		}
 		read := func(id string) {
-			c.readSurely("job/"+id, valid, func(jr ReadResult) {
+			c.readUntilAnswered("job/"+id, valid, func(jr ReadResult) {
 				if jr.Found {
-					c.adoptLoaded(p, id, jr.Item.Value, jr.Item.Stamp, items[id])
+					c.restoreAssignment(shard, id, jr.Item.Value, jr.Item.Revision, items[id])
 				}
 				done()
 			})
@@ -496,90 +496,90 @@
 		for _, id := range unknown {
 			read(id)
 		}
-		c.compareJobs(told, stamps, valid, func(id string) {
-			c.adoptLoaded(p, id, jobs[id], stamps[id], items[id])
+		c.compareAllRevisions(told, stamps, valid, func(id string) {
+			c.restoreAssignment(shard, id, jobs[id], stamps[id], items[id])
 			done()
 		}, read)
 	})
 }
 
-// adoptLoaded takes up a slice together with its job as they were found when
+// restoreAssignment takes up a slice together with its job as they were found when
 // the part was loaded.
-func (c *Core) adoptLoaded(p *part, id string, value []byte, stamp uint64, it Item) {
-	if j := c.learnJob(id, value, stamp); j != nil {
-		c.adoptSliceOf(p, j, it.Value, it.Stamp)
-	} else if s, over := c.final[id]; over {
-		var v jobValue
+func (c *Core) restoreAssignment(shard *Shard, id string, value []byte, stamp uint64, it Item) {
+	if job := c.applyJobRecord(id, value, stamp); job != nil {
+		c.adoptAssignmentOf(shard, job, it.Value, it.Revision)
+	} else if s, over := c.finished[id]; over {
+		var v jobRecord
 		_ = json.Unmarshal(value, &v) // at worst the job has no team
-		j := c.newJob(id, v.Spec, stamp)
-		j.standing = s
-		c.adoptSliceOf(p, j, it.Value, it.Stamp)
+		job := c.newJob(id, v.Spec, stamp)
+		job.state = s
+		c.adoptAssignmentOf(shard, job, it.Value, it.Revision)
 	}
 }
 
 // maybeHandOver hands a part to its home controller once that one is steadily
 // back. The old owner stops first, then drops the key.
-func (c *Core) maybeHandOver(p *part) {
-	mine, home := c.homeOf(p)
-	if !p.loaded || p.committing || p.claiming || p.handingOver {
+func (c *Core) maybeHandOver(shard *Shard) {
+	mine, home := c.homeController(shard)
+	if !shard.loaded || shard.txnPending || shard.claiming || shard.handingOver {
 		return
 	}
-	if to := c.heardBy(p); to != nil {
-		c.cutOffUntil = c.now + cutOffFor
-		c.handOver(p, to, "its workers are heard elsewhere only")
+	if to := c.peerHearingWorkers(shard); to != nil {
+		c.isolatedUntil = c.now + isolatedFor
+		c.handOver(shard, to, "its workers are heard elsewhere only")
 		return
 	}
-	if mine || len(p.refreshing) > 0 {
+	if mine || len(shard.unknownKeys) > 0 {
 		return
 	}
 	if home == nil {
-		if to := c.lessLoaded(p); to != nil {
-			c.handOver(p, to, "it owns fewer")
+		if to := c.lessLoadedPeer(shard); to != nil {
+			c.handOver(shard, to, "it owns fewer")
 		}
 		return
 	}
-	if !home.well(c.now) {
-		p.homeUp = 0
+	if !home.isWell(c.now) {
+		shard.homeWellSince = 0
 		return
 	}
-	if p.homeUp == 0 {
-		p.homeUp = c.now
+	if shard.homeWellSince == 0 {
+		shard.homeWellSince = c.now
 	}
-	if c.now >= p.homeUp+steadily {
-		c.handOver(p, home, "its home is back")
+	if c.now >= shard.homeWellSince+steadyFor {
+		c.handOver(shard, home, "its home is back")
 	}
 }
 
-// steadily is how long a controller must have been well to be handed a part.
-const steadily = 5 * time.Second
+// steadyFor is how long a controller must have been well to be handed a part.
+const steadyFor = 5 * time.Second
 
-// well says whether another controller is heard, reaches the state service and hears workers.
-func (q *peer) well(now time.Duration) bool {
-	return now < q.heard+1500*time.Millisecond && q.gossip != nil && q.gossip.StoreOK && !q.gossip.CutOff
+// isWell says whether another controller is heard, reaches the state service and hears workers.
+func (p *Peer) isWell(now time.Duration) bool {
+	return now < p.lastHeardAt+1500*time.Millisecond && p.gossip != nil && p.gossip.StoreOK && !p.gossip.Isolated
 }
 
-// lessLoaded names the controller that owns at least two parts fewer than this one, if
+// lessLoadedPeer names the controller that owns at least two parts fewer than this one, if
 // there is any, for a part of a zone without a controller. Such a part has no home to go
 // back to: after the others had ended for a while, one controller kept the machines of
 // all zones for ever, more than it could serve.
-func (c *Core) lessLoaded(p *part) *peer {
-	if c.now < p.loadedAt+2*steadily {
+func (c *Core) lessLoadedPeer(shard *Shard) *Peer {
+	if c.now < shard.loadedAt+2*steadyFor {
 		return nil
 	}
 	owned, handingOver := 0, false
 	owns := map[string]int{}
-	for _, q := range c.parts {
-		if q.mine || q.claiming {
+	for _, other := range c.shards {
+		if other.owned || other.claiming {
 			owned++
-			handingOver = handingOver || q.handingOver
+			handingOver = handingOver || other.handingOver
 		} else {
-			owns[q.owner]++
+			owns[other.owner]++
 		}
 	}
-	var best *peer
-	for _, q := range c.peers {
-		if q.well(c.now) && c.now > q.bootAt+steadily && owns[q.Label]+2 <= owned && (best == nil || owns[q.Label] < owns[best.Label]) {
-			best = q
+	var best *Peer
+	for _, peer := range c.peers {
+		if peer.isWell(c.now) && c.now > peer.epochSince+steadyFor && owns[peer.Label]+2 <= owned && (best == nil || owns[peer.Label] < owns[best.Label]) {
+			best = peer
 		}
 	}
 	if handingOver {
@@ -588,51 +588,51 @@
 	return best
 }
 
-// dark says whether this controller looks after another zone's part of which it
+// noHeartbeats says whether this controller looks after another zone's part of which it
 // hears nobody, as when that zone is cut off: work that waits there would wait for
 // the cut to end.
-func (c *Core) dark(p *part) bool {
-	if mine, _ := c.homeOf(p); mine || !p.mine {
+func (c *Core) noHeartbeats(shard *Shard) bool {
+	if mine, _ := c.homeController(shard); mine || !shard.owned {
 		return false
 	}
-	return c.now > p.heardAt+max(c.cfg.Report*3, 10*time.Second) && (c.shouldReport(p) >= 3 || p.wasDark)
+	return c.now > shard.lastHeartbeatAt+max(c.cfg.HeartbeatInterval*3, 10*time.Second) && (c.expectedReporters(shard) >= 3 || shard.hadNoHeartbeats)
 }
 
-// shouldReport counts the part's machines that would be heard here if it were not
+// expectedReporters counts the part's machines that would be heard here if it were not
 // dark: those that boot say nothing, however long that takes on their type.
-func (c *Core) shouldReport(p *part) int {
+func (c *Core) expectedReporters(shard *Shard) int {
 	n := 0
-	for _, h := range p.hosts {
-		if h.state == up || h.state == booting && c.now > h.eta+c.cfg.Report {
+	for _, host := range shard.hosts {
+		if host.state == hostUp || host.state == hostBooting && c.now > host.expectedUpAt+c.cfg.HeartbeatInterval {
 			n++
 		}
 	}
 	return n
 }
 
-// cutOffFor is how long a controller that gave a part up for not hearing its
+// isolatedFor is how long a controller that gave a part up for not hearing its
 // workers is not given one back.
-const cutOffFor = time.Minute
+const isolatedFor = time.Minute
 
-// heardBy names the controller that hears the part's workers while this one,
+// peerHearingWorkers names the controller that hears the part's workers while this one,
 // though it reaches the state service, hears none of them.
-func (c *Core) heardBy(p *part) *peer {
-	if c.now < p.loadedAt+max(10*time.Second, c.deafAfter()) {
+func (c *Core) peerHearingWorkers(shard *Shard) *Peer {
+	if c.now < shard.loadedAt+max(10*time.Second, c.isolationTimeout()) {
 		return nil
 	}
 	workers := 0
-	for _, h := range p.hostList() {
-		if h.state == up {
+	for _, host := range shard.hostList() {
+		if host.state == hostUp {
 			workers++
-			if c.silence(h) < c.deafAfter() {
+			if c.silentFor(host) < c.isolationTimeout() {
 				return nil
 			}
 		}
 	}
-	for _, q := range c.peers {
-		if workers > 1 && c.now < q.gossipAt+1500*time.Millisecond && q.gossip != nil && q.gossip.StoreOK &&
-			!q.gossip.CutOff && q.gossip.Heard[p.name] > 0 {
-			return q
+	for _, peer := range c.peers {
+		if workers > 1 && c.now < peer.gossipAt+1500*time.Millisecond && peer.gossip != nil && peer.gossip.StoreOK &&
+			!peer.gossip.Isolated && peer.gossip.WorkersHeard[shard.name] > 0 {
+			return peer
 		}
 	}
 	return nil
@@ -640,65 +640,65 @@
 
 // handOver lays a part down: stop first, then drop the key, then tell who should
 // take it.
-func (c *Core) handOver(p *part, to *peer, why string) {
-	p.handingOver = true
-	c.note(1, "part handed over", "part", p.name, "token", p.token, "to", to.Label, "why", why)
-	name := p.name
-	c.commit(Txn{Guards: []Guard{{p.key(), p.stamp}}, Apply: []Set{{Key: p.key()}}}, true, func(CommitResult) {
+func (c *Core) handOver(shard *Shard, to *Peer, why string) {
+	shard.handingOver = true
+	c.log(1, "part handed over", "part", shard.name, "token", shard.token, "to", to.Label, "why", why)
+	name := shard.name
+	c.commit(Txn{Conditions: []Condition{{shard.key(), shard.revision}}, Mutations: []Mutation{{Key: shard.key()}}}, true, func(CommitResult) {
 		// Whatever the answer, the office is laid down; the key is read again.
-		c.lose(p, "handed over")
-		for i, q := range c.peers {
-			if q == to {
-				c.emit(Tell{i, Message{Boot: c.cfg.Boot, Freed: []string{name}}})
+		c.loseShard(shard, "handed over")
+		for i, peer := range c.peers {
+			if peer == to {
+				c.emit(SendToPeer{i, Message{Epoch: c.cfg.Epoch, ReleasedShards: []string{name}}})
 			}
 		}
-		p.retryAt = c.now + c.cfg.Knobs.Grace + 2*time.Second
-		c.rereadPart(p)
+		shard.retryAt = c.now + c.cfg.Tuning.TakeoverDelay + 2*time.Second
+		c.rereadShard(shard)
 	})
 }
 
-// storeWell says whether the state service answered lately.
-func (c *Core) storeWell() bool {
-	return c.storeSeen && c.now < c.storeOK+4*time.Second
+// storeReachable says whether the state service answered lately.
+func (c *Core) storeReachable() bool {
+	return c.storeSeen && c.now < c.storeOKAt+4*time.Second
 }
 
-// fresh is the moment up to which every accepted withdrawal is known here:
+// cancellationsKnownUntil is the moment up to which every accepted withdrawal is known here:
 // by my own view of job/, or by the word of all other controllers: whom users
 // can ask to withdraw is nobody else.
-func (c *Core) fresh() (time.Duration, bool) {
-	own := c.jobsView.fresh
-	if !c.jobsView.started {
+func (c *Core) cancellationsKnownUntil() (time.Duration, bool) {
+	own := c.jobWatch.knownUntil
+	if !c.jobWatch.hasData {
 		return own, false
 	}
 	vouched := c.now
-	for _, p := range c.peers {
+	for _, peer := range c.peers {
 		// A life of it that began after my own view ended can't speak for what
 		// the one before had told users.
-		if p.bootAt > own {
+		if peer.epochSince > own {
 			return own, true
 		}
-		vouched = min(vouched, p.vouched)
+		vouched = min(vouched, peer.confirmedUntil)
 	}
 	return max(own, vouched), true
 }
 
-// mayStart says whether work may be started: only while withdrawals arrive.
-func (c *Core) mayStart() bool {
-	f, ok := c.fresh()
-	return ok && c.now < f+c.startFor()
+// mayStartTasks says whether work may be started: only while withdrawals arrive.
+func (c *Core) mayStartTasks() bool {
+	f, ok := c.cancellationsKnownUntil()
+	return ok && c.now < f+c.startWindow()
 }
 
-// mayAnswer says whether workers may still be answered, see AnswerFor.
-func (c *Core) mayAnswer() bool {
-	f, ok := c.fresh()
-	return ok && c.now < f+AnswerFor(c.cfg.Lease, c.cfg.Cancel)
+// mayAnswerWorkers says whether workers may still be answered, see AnswerFor.
+func (c *Core) mayAnswerWorkers() bool {
+	f, ok := c.cancellationsKnownUntil()
+	return ok && c.now < f+AnswerWindow(c.cfg.WorkerLease, c.cfg.CancelWithin)
 }
 
-// knowsWithdrawn says whether the part's workers can be told which of their tasks are
+// knowsCancellations says whether the part's workers can be told which of their tasks are
 // withdrawn. The slices tell; without them only what became known here does. A task
 // that was there when the part was claimed had been answered within lease_s before,
 // by an owner that knew all withdrawals up to a moment as mayAnswer demands; those
 // since then must be known here.
-func (c *Core) knowsWithdrawn(p *part) bool {
-	return p.loaded || c.jobsView.since+c.cfg.Cancel < p.blindAt
+func (c *Core) knowsCancellations(p *Shard) bool {
+	return p.loaded || c.jobWatch.knownFrom+c.cfg.CancelWithin < p.unloadedSince
 }
--- a/internal/core/peers.go
+++ b/internal/core/peers.go
@@ -7,256 +7,256 @@
 	"time"
 )
 
-// peer is another controller as seen from here.
-type peer struct {
-	Peer
-	boot     uint64
-	heard    time.Duration
-	gossip   *Gossip
-	gossipAt time.Duration
-	bootAt   time.Duration // since when this life of it is known
-	vouched  time.Duration // it knew of my gossip of then, and told all until then
-	heardOf  uint64        // the newest of my gossip that this life of it has heard
+// Peer is another controller as seen from here.
+type Peer struct {
+	PeerConfig
+	epoch          uint64
+	lastHeardAt    time.Duration
+	gossip         *Gossip
+	gossipAt       time.Duration
+	epochSince     time.Duration // since when this life of it is known
+	confirmedUntil time.Duration // it knew of my gossip of then, and told all until then
+	receivedGossip uint64        // the newest of my gossip that this life of it has heard
 }
 
-func (c *Core) peer(label string) *peer {
-	for _, p := range c.peers {
-		if p.Label == label {
-			return p
+func (c *Core) peer(label string) *Peer {
+	for _, peer := range c.peers {
+		if peer.Label == label {
+			return peer
 		}
 	}
 	return nil
 }
 
-func (c *Core) tellAll(m Message) {
-	m.Boot = c.cfg.Boot
+func (c *Core) broadcast(m Message) {
+	m.Epoch = c.cfg.Epoch
 	for i := range c.peers {
-		c.emit(Tell{i, m})
+		c.emit(SendToPeer{i, m})
 	}
 }
 
-// hear takes a message of another controller.
-func (c *Core) hear(from int, m Message) {
-	p := c.peers[from]
-	if p.boot != m.Boot {
-		p.boot, p.bootAt, p.vouched, p.heardOf = m.Boot, c.now, 0, 0
+// handlePeerMessage takes a message of another controller.
+func (c *Core) handlePeerMessage(from int, m Message) {
+	peer := c.peers[from]
+	if peer.epoch != m.Epoch {
+		peer.epoch, peer.epochSince, peer.confirmedUntil, peer.receivedGossip = m.Epoch, c.now, 0, 0
 	}
-	p.heard = c.now
+	peer.lastHeardAt = c.now
 	for _, it := range m.Jobs {
-		c.learnJob(strings.TrimPrefix(it.Key, "job/"), it.Value, it.Stamp)
+		c.applyJobRecord(strings.TrimPrefix(it.Key, "job/"), it.Value, it.Revision)
 	}
-	for _, it := range m.Slices {
+	for _, it := range m.Assignments {
 		zone, id, ok := strings.Cut(strings.TrimPrefix(it.Key, "slice/"), "/")
 		if !ok {
 			continue
 		}
-		z := c.zones.known(zone)
-		if z < 0 || !c.parts[z].mine || !c.parts[z].loaded {
+		z := c.zones.lookup(zone)
+		if z < 0 || !c.shards[z].owned || !c.shards[z].loaded {
 			continue
 		}
-		if j := c.jobs[id]; j != nil && it.Stamp < j.stamp {
+		if job := c.jobs[id]; job != nil && it.Revision < job.revision {
 			// Every move changes the job as well, so tasks have moved since. Word held
 			// back by a cut once brought a slice back that was no more, and its task
 			// ran twice.
-			c.readSlice(c.parts[z], id)
+			c.readAssignment(c.shards[z], id)
 			continue
 		}
-		c.sliceSeen(c.parts[z], id, it.Value, it.Stamp)
+		c.applyAssignmentRecord(c.shards[z], id, it.Value, it.Revision)
 	}
-	for _, zone := range m.Freed {
-		if z := c.zones.known(zone); z >= 0 && !c.parts[z].mine && !c.parts[z].claiming {
-			c.parts[z].offered = true
-			c.rereadPart(c.parts[z])
+	for _, zone := range m.ReleasedShards {
+		if z := c.zones.lookup(zone); z >= 0 && !c.shards[z].owned && !c.shards[z].claiming {
+			c.shards[z].offered = true
+			c.rereadShard(c.shards[z])
 		}
 	}
 	for _, it := range m.Quotas {
-		if t := c.teams.known(strings.TrimPrefix(it.Key, "quota/")); t >= 0 {
-			c.learnQuota(c.quotas[t], true, it.Value, it.Stamp)
+		if t := c.teams.lookup(strings.TrimPrefix(it.Key, "quota/")); t >= 0 {
+			c.applyQuotaRecord(c.quotas[t], true, it.Value, it.Revision)
 		}
 	}
-	for _, ask := range m.Asks {
-		if t := c.teams.known(ask.Team); t >= 0 {
-			c.quotas[t].asks[from] = heardAsk{ask, c.now}
-			for _, q := range c.parts {
-				if q.mine && q.loaded {
-					c.giveBack(q, t, true)
+	for _, ask := range m.GrantRequests {
+		if t := c.teams.lookup(ask.Team); t >= 0 {
+			c.quotas[t].requests[from] = receivedRequest{ask, c.now}
+			for _, other := range c.shards {
+				if other.owned && other.loaded {
+					c.releaseGrant(other, t, true)
 				}
 			}
 		}
 	}
 	if m.Gossip != nil {
-		c.hearGossip(p, m.Gossip)
+		c.applyGossip(peer, m.Gossip)
 	}
 }
 
-func (c *Core) hearGossip(p *peer, g *Gossip) {
-	p.gossip, p.gossipAt = g, c.now
-	for _, it := range g.Withdrawn {
-		c.learnJob(strings.TrimPrefix(it.Key, "job/"), it.Value, it.Stamp)
+func (c *Core) applyGossip(peer *Peer, g *Gossip) {
+	peer.gossip, peer.gossipAt = g, c.now
+	for _, it := range g.Cancellations {
+		c.applyJobRecord(strings.TrimPrefix(it.Key, "job/"), it.Value, it.Revision)
 	}
 	// What it wrote after it had heard my gossip holds, together with what came
 	// before, all withdrawals that it had told anybody of by the time I sent that;
 	// packets may be held for long. Not so if I missed it for longer than it repeats
 	// withdrawals.
-	p.heardOf = max(p.heardOf, g.Echo[c.cfg.Label])
-	if at, ok := c.sentAt[g.Echo[c.cfg.Label]]; ok && c.now < max(c.jobsView.fresh, p.vouched)+c.cfg.Cancel {
-		p.vouched = max(p.vouched, at)
+	peer.receivedGossip = max(peer.receivedGossip, g.Received[c.cfg.Label])
+	if at, ok := c.gossipSentAt[g.Received[c.cfg.Label]]; ok && c.now < max(c.jobWatch.knownUntil, peer.confirmedUntil)+c.cfg.CancelWithin {
+		peer.confirmedUntil = max(peer.confirmedUntil, at)
 	}
-	for i := range g.Parts {
-		v := &g.Parts[i]
-		z := c.zone(v.Zone)
-		q := c.parts[z]
-		if q.mine {
-			if v.Token > q.token {
-				c.lose(q, "a peer shows a higher token")
-				c.partsView.loaded = false
+	for i := range g.Shards {
+		v := &g.Shards[i]
+		z := c.zoneIndex(v.Zone)
+		other := c.shards[z]
+		if other.owned {
+			if v.Token > other.token {
+				c.loseShard(other, "a peer shows a higher token")
+				c.shardWatch.loaded = false
 			}
 			continue
 		}
-		if q.view != nil && q.view.Token > v.Token {
+		if other.view != nil && other.view.Token > v.Token {
 			continue
 		}
-		q.view, q.viewAt, q.devices = v, c.now, nil
+		other.view, other.viewAt, other.devices = v, c.now, nil
 		// An owner that lost the store goes on telling of a claim that is gone. Taken at
 		// its word it kept its part, in which it could start nothing, from the others.
-		if v.Token > q.stamp && v.Token > q.removed && !q.claiming {
-			q.owner, q.stamp, q.known, q.freeSince = p.Label, v.Token, true, 0
+		if v.Token > other.revision && v.Token > other.removedRevision && !other.claiming {
+			other.owner, other.revision, other.recordKnown, other.freeSince = peer.Label, v.Token, true, 0
 		}
-		c.shown[v.Zone] = v.Show
+		c.jobCounts[v.Zone] = v.Jobs
 	}
 }
 
-// gossip tells the others what this controller owns and sees.
-func (c *Core) gossip() {
-	if c.now < c.gossipAt {
+// sendGossip tells the others what this controller owns and sees.
+func (c *Core) sendGossip() {
+	if c.now < c.nextGossipAt {
 		return
 	}
-	c.gossipAt = c.now + 500*time.Millisecond
+	c.nextGossipAt = c.now + 500*time.Millisecond
 	c.gossipSeq++
-	c.sentAt[c.gossipSeq] = c.now
-	delete(c.sentAt, c.gossipSeq-120)
-	g := &Gossip{Seq: c.gossipSeq, Echo: map[string]uint64{}, StoreOK: c.storeWell(), Reads: formGrouped, Wants: c.wants, Heard: map[string]int{}, CutOff: c.now < c.cutOffUntil}
-	for zone, hosts := range c.heard {
+	c.gossipSentAt[c.gossipSeq] = c.now
+	delete(c.gossipSentAt, c.gossipSeq-120)
+	g := &Gossip{Seq: c.gossipSeq, Received: map[string]uint64{}, StoreOK: c.storeReachable(), ValueFormat: formGrouped, CallRate: c.callRate, WorkersHeard: map[string]int{}, Isolated: c.now < c.isolatedUntil}
+	for zone, hosts := range c.foreignHeartbeats {
 		for name, at := range hosts {
 			if c.now > at+6*time.Second {
 				delete(hosts, name)
 			}
 		}
-		g.Heard[zone] = len(hosts)
+		g.WorkersHeard[zone] = len(hosts)
 	}
-	for _, p := range c.peers {
-		if p.gossip != nil {
-			g.Echo[p.Label] = p.gossip.Seq
+	for _, peer := range c.peers {
+		if peer.gossip != nil {
+			g.Received[peer.Label] = peer.gossip.Seq
 		}
 	}
-	for _, p := range c.parts {
-		if p.mine && p.loaded && !p.handingOver {
-			v := c.viewOf(p)
-			c.shown[p.name] = v.Show
-			g.Parts = append(g.Parts, v)
+	for _, shard := range c.shards {
+		if shard.owned && shard.loaded && !shard.handingOver {
+			v := c.shardView(shard)
+			c.jobCounts[shard.name] = v.Jobs
+			g.Shards = append(g.Shards, v)
 		}
 	}
-	c.withdrawn = slices.DeleteFunc(c.withdrawn, func(w withdrawal) bool { return c.now > w.at+c.cfg.Cancel+10*time.Second })
-	for i, p := range c.peers {
+	c.recentCancellations = slices.DeleteFunc(c.recentCancellations, func(w cancellationNotice) bool { return c.now > w.at+c.cfg.CancelWithin+10*time.Second })
+	for i, peer := range c.peers {
 		own := *g
-		own.Withdrawn = c.unheardBy(p)
-		c.emit(Tell{i, Message{Boot: c.cfg.Boot, Gossip: &own}})
+		own.Cancellations = c.cancellationsFor(peer)
+		c.emit(SendToPeer{i, Message{Epoch: c.cfg.Epoch, Gossip: &own}})
 	}
 }
 
-// unheardBy lists the withdrawals that another controller may have to hear of from
+// cancellationsFor lists the withdrawals that another controller may have to hear of from
 // here because it does not reach the state service. Each is in all gossip to it
 // until it has heard one of those.
-func (c *Core) unheardBy(p *peer) []Item {
+func (c *Core) cancellationsFor(peer *Peer) []Item {
 	var out []Item
-	for _, w := range c.withdrawn {
-		if p.heardOf < w.from {
+	for _, w := range c.recentCancellations {
+		if peer.receivedGossip < w.firstGossip {
 			out = append(out, w.item)
 		}
 	}
 	return out
 }
 
-// withdrawal is a withdrawal, when it became known here and the first gossip it is in.
-type withdrawal struct {
-	at   time.Duration
-	from uint64
-	item Item
+// cancellationNotice is a withdrawal, when it became known here and the first gossip it is in.
+type cancellationNotice struct {
+	at          time.Duration
+	firstGossip uint64
+	item        Item
 }
 
-func (c *Core) viewOf(p *part) PartView {
-	v := PartView{Zone: p.name, Token: p.token, Used: map[string]Amount{}, Dark: c.dark(p)}
-	v.Hosts, v.Images = c.groups(p)
-	v.Queue = c.backlog(p)
-	v.Fill = map[string]float64{}
+func (c *Core) shardView(shard *Shard) ShardView {
+	v := ShardView{Zone: shard.name, Token: shard.token, TeamUsage: map[string]Resources{}, NoHeartbeats: c.noHeartbeats(shard)}
+	v.Hosts, v.Images = c.hostGroups(shard)
+	v.Backlog = c.backlog(shard)
+	v.BackfillRoom = map[string]float64{}
 	for t := range c.types {
-		if room := c.backfillRoomOn(p, t); room > 0 {
-			v.Fill[c.types[t].Name] = math.Floor(room)
+		if room := c.backfillRoomOn(shard, t); room > 0 {
+			v.BackfillRoom[c.types[t].Name] = math.Floor(room)
 		}
 	}
 	for t := range c.types {
 		for _, spot := range []bool{false, true} {
-			if o := (Offer{c.types[t].Name, spot}); c.now < p.scarce[o] {
-				v.Scarce = append(v.Scarce, o)
+			if o := (MachineKind{c.types[t].Name, spot}); c.now < shard.exhaustedUntil[o] {
+				v.Exhausted = append(v.Exhausted, o)
 			}
 		}
 	}
-	first := c.firstUp(p)
-	for _, id := range sorted(p.slices) {
-		s := p.slices[id]
-		if s.job.standing == Pending {
-			n := s.tally()
-			c.seeMissing(s, n)
-			shown := Shown{ID: id, Done: s.done.count(), Running: n.Up}
-			if s.job.spec.Service && n.missing() > 0 {
-				shown.Starting, shown.Fetching, shown.Waiting, shown.MissingS = n.Starting, n.Fetching, n.Waiting, math.Round(c.missingS(s))
-				shown.Why, _ = c.why(p, s, n, first)
+	first := c.nextHostsUp(shard)
+	for _, id := range sorted(shard.assignments) {
+		assignment := shard.assignments[id]
+		if assignment.job.state == JobPending {
+			n := assignment.counts()
+			c.trackMissing(assignment, n)
+			shown := JobCounts{ID: id, Done: assignment.done.count(), Running: n.Running}
+			if assignment.job.spec.Service && n.missing() > 0 {
+				shown.Starting, shown.Fetching, shown.Waiting, shown.MissingSeconds = n.Starting, n.Fetching, n.Waiting, math.Round(c.missingSeconds(assignment))
+				shown.Reason, _ = c.whyMissing(shard, assignment, n, first)
 			}
-			v.Show = append(v.Show, shown)
+			v.Jobs = append(v.Jobs, shown)
 		}
 	}
-	v.Queues = c.queuesOf(p, first)
-	for t, a := range p.used {
-		if a.Cores > 0 || a.Cards > 0 {
-			v.Used[c.limits[t].Name] = a
+	v.Queues = c.shardQueues(shard, first)
+	for t, a := range shard.teamUsage {
+		if a.Cores > 0 || a.GPUs > 0 {
+			v.TeamUsage[c.teamConfigs[t].Name] = a
 		}
 	}
 	return v
 }
 
-// groups sums a part's machines up.
-func (c *Core) groups(p *part) ([]HostGroup, []ImageShare) {
+// hostGroups sums a part's machines up.
+func (c *Core) hostGroups(shard *Shard) ([]HostGroup, []ImageShare) {
 	var out []HostGroup
 	at := map[HostGroup]int{}
 	held := make(map[[2]int]int)
 	ofType := make([]int, len(c.types))
-	for _, h := range p.hostList() {
-		if !h.planned(c.now) {
+	for _, host := range shard.hostList() {
+		if !host.countsForPlans(c.now) {
 			continue
 		}
-		g := HostGroup{Type: c.types[h.typ].Name, Spot: h.spot, FetchAt: roughly(seconds(h.fetchEnd - c.now))}
-		if h.state == booting {
-			g.Up = roughly(seconds(max(h.eta-c.now, time.Second)))
+		g := HostGroup{Type: c.types[host.typeIndex].Name, Spot: host.spot, FetchingSeconds: roundToPowerOfTwo(seconds(host.fetchesDoneAt - c.now))}
+		if host.state == hostBooting {
+			g.ReadyInSeconds = roundToPowerOfTwo(seconds(max(host.expectedUpAt-c.now, time.Second)))
 		} else {
-			ofType[h.typ]++
+			ofType[host.typeIndex]++
 		}
 		// One use stands for all: it ends when their mean does, by load. Whole
 		// milliseconds add up to the same in any order.
 		sum, uses := 0.0, 0.0
-		for _, t := range h.tasks {
-			if c.preemptible(t) {
+		for _, task := range host.tasks {
+			if c.preemptible(task) {
 				continue // it gives way to what is dealt here
 			}
-			g.Used = g.Used.plus(t.need, 1)
-			use := c.takes(t.need, h.typ)
-			sum += float64((c.expectedEnd(t)-c.now)/time.Millisecond) * use
+			g.Used = g.Used.plus(task.need, 1)
+			use := c.coresTaken(task.need, host.typeIndex)
+			sum += float64((c.expectedEnd(task)-c.now)/time.Millisecond) * use
 			uses += use
 		}
 		if uses > 0 {
-			g.For = roughly(sum / 1000 / uses)
+			g.BusySeconds = roundToPowerOfTwo(sum / 1000 / uses)
 		}
-		for img := range h.images {
-			held[[2]int{img, h.typ}]++
+		for img := range host.images {
+			held[[2]int{img, host.typeIndex}]++
 		}
 		k, known := at[g]
 		if !known {
@@ -267,7 +267,7 @@
 		out[k].Count++
 	}
 	var images []ImageShare
-	for img, name := range c.images.list {
+	for img, name := range c.images.names {
 		for typ, n := range ofType {
 			if k := held[[2]int{img, typ}]; k > 0 && n > 0 {
 				images = append(images, ImageShare{name, c.types[typ].Name, min(float64(k)/float64(n), 1)})
@@ -277,8 +277,8 @@
 	return out, images
 }
 
-// roughly rounds a time to a power of two, so that machines fall into few groups.
-func roughly(s float64) float64 {
+// roundToPowerOfTwo rounds a time to a power of two, so that machines fall into few groups.
+func roundToPowerOfTwo(s float64) float64 {
 	if s <= 0.1 {
 		return 0
 	}
@@ -291,40 +291,40 @@
 // busy but whose queue is empty. Services do not pass through the machines: they take
 // from what there is. Counted as an hour's work each, the part with the most machines
 // for other work had the shortest queue, and all work went there.
-func (c *Core) backlog(p *part) []Backlog {
+func (c *Core) backlog(shard *Shard) []Backlog {
 	pools := c.pools()
 	work := make([][priorities]float64, len(pools))
 	served := make([]float64, len(pools))
-	for _, id := range sorted(p.slices) { // sums must not depend on a map's order
-		s := p.slices[id]
-		if s.job.standing != Pending {
+	for _, id := range sorted(shard.assignments) { // sums must not depend on a map's order
+		assignment := shard.assignments[id]
+		if assignment.job.state != JobPending {
 			continue
 		}
-		typ := c.usualType(s.job)
+		typ := c.usualType(assignment.job)
 		if typ < 0 {
 			continue
 		}
 		i := poolOf(pools, typ)
-		if s.job.spec.Service {
-			served[i] += float64(len(s.tasks)+c.startable(s)) * c.takes(s.job.spec.Need, typ)
-		} else if len(s.waiting) > 0 {
-			work[i][min(s.job.spec.Priority, priorities-1)] += float64(c.startable(s)) * c.takes(s.job.spec.Need, typ) * c.estimate(s.job)
+		if assignment.job.spec.Service {
+			served[i] += float64(len(assignment.tasks)+c.startableTasks(assignment)) * c.coresTaken(assignment.job.spec.Need, typ)
+		} else if len(assignment.waiting) > 0 {
+			work[i][min(assignment.job.spec.Priority, priorities-1)] += float64(c.startableTasks(assignment)) * c.coresTaken(assignment.job.spec.Need, typ) * c.estimatedRunTime(assignment.job)
 		}
 	}
 	var out []Backlog
 	for i, types := range pools {
-		cores := c.capacity(p, types) - served[i]
+		cores := c.capacity(shard, types) - served[i]
 		for t := range c.types {
 			if types&(1<<t) == 0 {
 				continue
 			}
 			can := 1.0 // machines that can be hired at once
-			if contains(c.types[t].Zones, p.name) && !c.isScarce(p, Offer{c.types[t].Name, true}) {
-				can = imagined
+			if contains(c.types[t].Zones, shard.name) && !c.isExhausted(shard, MachineKind{c.types[t].Name, true}) {
+				can = imaginedHosts
 			}
 			for prio, w := range work[i] {
 				if w > 0 {
-					out = append(out, Backlog{c.types[t].Name, prio, w / max(cores, can*c.types[t].Total.Cores)})
+					out = append(out, Backlog{c.types[t].Name, prio, w / max(cores, can*c.types[t].Capacity.Cores)})
 				}
 			}
 		}
@@ -335,21 +335,21 @@
 // priorities is how many there are.
 const priorities = 4
 
-// queueFor is how long work of the priority given waits for each type of the
+// queueSeconds is how long work of the priority given waits for each type of the
 // part's machines behind what is there already.
-func (c *Core) queueFor(p *part, priority int) []float64 {
+func (c *Core) queueSeconds(shard *Shard, priority int) []float64 {
 	out := make([]float64, len(c.types))
 	var queue []Backlog
-	if p.mine && p.loaded {
-		if p.queue == nil || c.now > p.queueAt+500*time.Millisecond {
-			p.queue, p.queueAt = c.backlog(p), c.now
+	if shard.owned && shard.loaded {
+		if shard.backlog == nil || c.now > shard.backlogAt+500*time.Millisecond {
+			shard.backlog, shard.backlogAt = c.backlog(shard), c.now
 		}
-		queue = p.queue
-	} else if p.view != nil {
-		queue = p.view.Queue
+		queue = shard.backlog
+	} else if shard.view != nil {
+		queue = shard.view.Backlog
 	}
 	for _, b := range queue {
-		if typ := c.typeIdx.known(b.Type); typ >= 0 && b.Priority <= priority {
+		if typ := c.typeIndex.lookup(b.Type); typ >= 0 && b.Priority <= priority {
 			out[typ] += b.Seconds
 		}
 	}
--- a/internal/core/planning.go
+++ b/internal/core/planning.go
@@ -11,116 +11,116 @@
 type device struct {
 	*plan.Device
 	zone int
-	host *host // nil: booting elsewhere, another part's, or yet to be hired
+	host *Host // nil: booting elsewhere, another part's, or yet to be hired
 }
 
-// need is work that finds no machine soon.
-type need struct {
-	job   *job
-	tasks int
-	after float64 // seconds until the first of them would start here
+// unplacedWork is work that finds no machine soon.
+type unplacedWork struct {
+	job      *Job
+	tasks    int
+	startsIn float64 // seconds until the first of them would start here
 }
 
-// work does what is due for a part: plans, records, sends.
-func (c *Core) work(p *part) {
-	if p.handingOver {
+// runShard does what is due for a part: plans, records, sends.
+func (c *Core) runShard(shard *Shard) {
+	if shard.handingOver {
 		return
 	}
-	c.refresh(p)
-	if c.now >= p.planAt {
-		p.planAt = c.now + time.Second
-		c.sweep(p)
-		p.replan = p.replan || len(p.shortage) > 0
+	c.resolveUnknownKeys(shard)
+	if c.now >= shard.nextSweepAt {
+		shard.nextSweepAt = c.now + time.Second
+		c.sweep(shard)
+		shard.needsPlan = shard.needsPlan || len(shard.unplaced) > 0
 	}
-	if p.replan && c.now >= p.planNext {
-		p.replan = false
-		p.planNext = c.now + c.plan(p)
-		p.sizeAt = min(p.sizeAt, c.now+sizeSoon)
+	if shard.needsPlan && c.now >= shard.nextPlanAt {
+		shard.needsPlan = false
+		shard.nextPlanAt = c.now + c.planShard(shard)
+		shard.nextSizingAt = min(shard.nextSizingAt, c.now+sizeAfterPlan)
 	}
-	if c.now >= p.sizeAt && !p.replan { // by what the newest plan lacks
-		p.sizeAt = c.now + time.Second
-		c.size(p)
+	if c.now >= shard.nextSizingAt && !shard.needsPlan { // by what the newest plan lacks
+		shard.nextSizingAt = c.now + time.Second
+		c.sizeFleet(shard)
 	}
-	c.record(p)
-	c.maybeMove(p)
-	c.sendOrders(p)
+	c.commitChanges(shard)
+	c.maybeRebalance(shard)
+	c.sendCommands(shard)
 }
 
-// sizeSoon is how soon after a plan the fleet is looked at.
-const sizeSoon = 100 * time.Millisecond
+// sizeAfterPlan is how soon after a plan the fleet is looked at.
+const sizeAfterPlan = 100 * time.Millisecond
 
 // sweep looks for what events alone would miss.
-func (c *Core) sweep(p *part) {
-	for _, id := range sorted(p.slices) {
-		s := p.slices[id]
+func (c *Core) sweep(shard *Shard) {
+	for _, id := range sorted(shard.assignments) {
+		assignment := shard.assignments[id]
 		switch {
-		case s.job.standing != Pending:
-			if len(s.tasks) == 0 {
-				p.dirty[id] = s
+		case assignment.job.state != JobPending:
+			if len(assignment.tasks) == 0 {
+				shard.dirty[id] = assignment
 			}
-		case s.complete():
-			p.dirty[id] = s
-		case len(s.waiting) > 0:
-			p.replan = true
+		case assignment.complete():
+			shard.dirty[id] = assignment
+		case len(assignment.waiting) > 0:
+			shard.needsPlan = true
 		}
 	}
-	for t := range c.limits {
-		if c.giveBack(p, t, false) {
+	for t := range c.teamConfigs {
+		if c.releaseGrant(shard, t, false) {
 			return
 		}
 	}
-	for _, h := range p.hostList() {
-		c.drain(p, h)
+	for _, h := range shard.hostList() {
+		c.drain(shard, h)
 	}
 }
 
 // drain frees a machine that will be taken or is not fit: what cannot end in
 // time is stopped at once and starts again elsewhere.
-func (c *Core) drain(p *part, h *host) {
-	if h.state != up || h.recall == 0 && !h.failed {
+func (c *Core) drain(shard *Shard, host *Host) {
+	if host.state != hostUp || host.reclaimedAt == 0 && !host.faulty {
 		return
 	}
-	for _, id := range sortedTasks(h.tasks) {
-		t := h.tasks[id]
-		if t == nil || t.phase != onHost || t.halting {
+	for _, id := range sortedTasks(host.tasks) {
+		task := host.tasks[id]
+		if task == nil || task.phase != taskPlaced || task.stopping {
 			continue
 		}
-		j := t.job()
-		if h.failed || j == nil || c.expectedEnd(t) > h.recall || j.spec.Service {
+		job := task.job()
+		if host.faulty || job == nil || c.expectedEnd(task) > host.reclaimedAt || job.spec.Service {
 			leeway := 0.0
-			if j != nil && j.spec.Checkpoint > 0 && t.state == Running {
-				leeway = j.spec.Save + 1
+			if job != nil && job.spec.CheckpointSeconds > 0 && task.state == TaskRunning {
+				leeway = job.spec.SaveSeconds + 1
 			}
-			c.halt(p, t, leeway)
+			c.stopTask(shard, task, leeway)
 		}
 	}
 }
 
-// step is a job's tasks as the programme's step. What it says of the kinds of
+// planStep is a job's tasks as the programme's step. What it says of the kinds of
 // machines is worked out once for all machines.
-func (c *Core) step(j *job) *plan.Step {
-	kinds := len(c.parts) * len(c.types) * 2
+func (c *Core) planStep(job *Job) *plan.Step {
+	kinds := len(c.shards) * len(c.types) * 2
 	allowed, cost := make([]bool, kinds), make([]float64, kinds)
 	for k := range kinds {
-		if allowed[k] = c.allowedOn(j, k); allowed[k] {
-			cost[k] = c.choiceCost(j, k)
+		if allowed[k] = c.allowedOn(job, k); allowed[k] {
+			cost[k] = c.placementCost(job, k)
 		}
 	}
-	return &plan.Step{Tasks: 1, Gang: j.spec.Gang, Need: j.spec.Need.plan(), Comp: c.estimate(j), Image: j.image,
-		ImageGB: j.spec.ImageGB, Allowed: func(kind int) bool { return allowed[kind] },
+	return &plan.Step{Tasks: 1, Gang: job.spec.Gang, Need: job.spec.Need.plan(), Comp: c.estimatedRunTime(job), Image: job.image,
+		ImageGB: job.spec.ImageGB, Allowed: func(kind int) bool { return allowed[kind] },
 		Cost: func(kind int) float64 { return cost[kind] }}
 }
 
-// choiceCost weighs what a choice of machine costs others, in seconds of this
+// placementCost weighs what a choice of machine costs others, in seconds of this
 // job's time: a dearer machine, or one that another class of jobs cannot do
 // without while this job can.
-func (c *Core) choiceCost(j *job, kind int) float64 {
+func (c *Core) placementCost(job *Job, kind int) float64 {
 	spot, typ := kind&1 == 1, kind/2%len(c.types)
 	cost := 0.0
 	if !spot {
 		cost += ordinaryCost
 	}
-	if c.contested(j, typ) {
+	if c.contested(job, typ) {
 		cost += contestedCost
 	}
 	return cost
@@ -134,10 +134,10 @@
 
 // contested says whether another class seen lately has fewer types to run on
 // than j, this one among them.
-func (c *Core) contested(j *job, typ int) bool {
-	mine := c.typesOf(j)
-	for class, k := range c.kinds {
-		if class != j.class && k.types&(1<<typ) != 0 && c.now < k.at+5*time.Minute &&
+func (c *Core) contested(job *Job, typ int) bool {
+	mine := c.typeSet(job)
+	for class, k := range c.typesByClass {
+		if class != job.class && k.types&(1<<typ) != 0 && c.now < k.at+5*time.Minute &&
 			bits.OnesCount64(k.types) < bits.OnesCount64(mine) {
 			return true
 		}
@@ -151,96 +151,96 @@
 	at    time.Duration
 }
 
-// typesOf is the set of types that hold a task of the job.
-func (c *Core) typesOf(j *job) uint64 {
-	if j.fits == 0 || j.fitsOf != len(c.types) {
-		j.fits, j.fitsOf = 0, len(c.types)
+// typeSet is the set of types that hold a task of the job.
+func (c *Core) typeSet(job *Job) uint64 {
+	if job.fittingTypes == 0 || job.fittingTypesOf != len(c.types) {
+		job.fittingTypes, job.fittingTypesOf = 0, len(c.types)
 		for t := range c.types {
-			if t < 64 && j.spec.Need.plan().Within(c.types[t].Total.plan()) &&
-				(len(j.spec.Types) == 0 || contains(j.spec.Types, c.types[t].Name)) {
-				j.fits |= 1 << t
+			if t < 64 && job.spec.Need.plan().Within(c.types[t].Capacity.plan()) &&
+				(len(job.spec.Types) == 0 || contains(job.spec.Types, c.types[t].Name)) {
+				job.fittingTypes |= 1 << t
 			}
 		}
 	}
-	return j.fits
+	return job.fittingTypes
 }
 
-// sawClass remembers what the class of a job runs on.
-func (c *Core) sawClass(j *job) {
-	for len(c.kinds) <= j.class {
-		c.kinds = append(c.kinds, classKinds{})
+// rememberClassTypes remembers what the class of a job runs on.
+func (c *Core) rememberClassTypes(job *Job) {
+	for len(c.typesByClass) <= job.class {
+		c.typesByClass = append(c.typesByClass, classKinds{})
 	}
-	c.kinds[j.class] = classKinds{c.typesOf(j), c.now}
+	c.typesByClass[job.class] = classKinds{c.typeSet(job), c.now}
 }
 
 // hostDevice is a machine of a part owned here, with or without the room of those
 // who would give way.
-func (c *Core) hostDevice(h *host, withoutPreemptible bool) device {
-	t := &c.types[h.typ]
+func (c *Core) hostDevice(host *Host, withoutPreemptible bool) device {
+	t := &c.types[host.typeIndex]
 	now := seconds(c.now)
-	d := &plan.Device{Kind: c.kind(h.part.zone, h.typ, h.spot), Total: t.Total.plan(), Up: now,
-		SPerGB: c.fetchRate(h.typ), Slow: 1, FetchAt: seconds(h.fetchEnd),
-		Images: make([]plan.Held, 0, len(h.images)+len(h.fetching)+1), Uses: make([]plan.Use, 0, len(h.tasks)+4)}
-	if h.state == booting {
-		d.Up = max(seconds(h.eta), now+1)
-	} else if h.joining(c.now) {
+	d := &plan.Device{Kind: c.kindIndex(host.shard.zone, host.typeIndex, host.spot), Total: t.Capacity.plan(), Up: now,
+		SPerGB: c.fetchRate(host.typeIndex), Slow: 1, FetchAt: seconds(host.fetchesDoneAt),
+		Images: make([]plan.Held, 0, len(host.images)+len(host.fetching)+1), Uses: make([]plan.Use, 0, len(host.tasks)+4)}
+	if host.state == hostBooting {
+		d.Up = max(seconds(host.expectedUpAt), now+1)
+	} else if host.isJoining(c.now) {
 		d.Up = now + 0.5
 	}
-	for img, at := range h.fetching {
+	for img, at := range host.fetching {
 		d.Images = append(d.Images, plan.Held{Image: img, At: max(seconds(at), now+0.2)})
 	}
-	for img := range h.images {
-		if _, fetching := h.fetching[img]; !fetching {
+	for img := range host.images {
+		if _, fetching := host.fetching[img]; !fetching {
 			d.Images = append(d.Images, plan.Held{Image: img, At: now})
 		}
 	}
-	if len(h.tasks) == 0 {
+	if len(host.tasks) == 0 {
 		d.Penalty = emptyCost // work that shares machines lets others go back
 	}
-	for _, t := range h.tasks {
-		if withoutPreemptible && c.preemptible(t) {
+	for _, task := range host.tasks {
+		if withoutPreemptible && c.preemptible(task) {
 			continue
 		}
-		d.Uses = append(d.Uses, plan.Use{Start: 0, End: seconds(c.expectedEnd(t)), Amount: t.need.plan()})
+		d.Uses = append(d.Uses, plan.Use{Start: 0, End: seconds(c.expectedEnd(task)), Amount: task.need.plan()})
 	}
-	return device{d, h.part.zone, h}
+	return device{d, host.shard.zone, host}
 }
 
-// teamUse is what a team uses in all parts, as far as known here.
-func (c *Core) teamUse(team int) Amount {
-	var sum Amount
-	for _, p := range c.parts {
-		if p.mine && p.loaded {
-			sum = sum.plus(p.used[team], 1)
-		} else if p.view != nil {
-			sum = sum.plus(p.view.Used[c.limits[team].Name], 1)
+// teamUsage is what a team uses in all parts, as far as known here.
+func (c *Core) teamUsage(team int) Resources {
+	var sum Resources
+	for _, shard := range c.shards {
+		if shard.owned && shard.loaded {
+			sum = sum.plus(shard.teamUsage[team], 1)
+		} else if shard.view != nil {
+			sum = sum.plus(shard.view.TeamUsage[c.teamConfigs[team].Name], 1)
 		}
 	}
 	return sum
 }
 
-// place books a task on a host; it is launched once that is durable.
-func (c *Core) place(p *part, s *slice, i int, h *host) {
-	j := s.job
-	if !j.spec.Gang {
-		s.next++
+// placeTask books a task on a host; it is launched once that is durable.
+func (c *Core) placeTask(shard *Shard, assignment *Assignment, i int, host *Host) {
+	job := assignment.job
+	if !job.spec.Gang {
+		assignment.lastAttempt++
 	}
-	t := &task{id: TaskID{j.id, i}, slice: s, host: h, attempt: s.next, phase: placing,
-		need: j.spec.Need, team: j.team, since: c.now, fetchFrom: c.now}
-	if h.tasks[t.id] != nil {
+	task := &Task{id: TaskID{job.id, i}, assignment: assignment, host: host, attempt: assignment.lastAttempt, phase: taskPlacing,
+		need: job.spec.Need, team: job.team, placedAt: c.now, fetchStartedAt: c.now}
+	if host.tasks[task.id] != nil {
 		return // an earlier attempt is still on its way off this host
 	}
-	s.leavesAt = 0
-	s.waiting.remove(i)
-	s.tasks[i] = t
-	c.occupy(p, t)
-	if j.image >= 0 {
-		if _, has := h.images[j.image]; has {
-			h.images[j.image] = c.now
-		} else if _, on := h.fetching[j.image]; !on {
-			at := max(c.now, h.fetchEnd) + duration(j.spec.ImageGB*c.fetchRate(h.typ))
-			h.fetching[j.image], h.fetchEnd = at, at
+	assignment.yieldingSince = 0
+	assignment.waiting.remove(i)
+	assignment.tasks[i] = task
+	c.reserve(shard, task)
+	if job.image >= 0 {
+		if _, has := host.images[job.image]; has {
+			host.images[job.image] = c.now
+		} else if _, on := host.fetching[job.image]; !on {
+			at := max(c.now, host.fetchesDoneAt) + duration(job.spec.ImageGB*c.fetchRate(host.typeIndex))
+			host.fetching[job.image], host.fetchesDoneAt = at, at
 		}
 	}
-	p.dirty[j.id] = s
+	shard.dirty[job.id] = assignment
 }
--- a/internal/core/queues.go
+++ b/internal/core/queues.go
@@ -14,63 +14,63 @@
 
 // Reasons, see reasons for what operators are told.
 const (
-	NoReason Reason = iota
-	OtherReason
-	StoreAway
-	ViewStale
-	PartHandingOver
-	OutcomeUnknown
-	InDoubt
-	LimitUnknown
-	AtLimit
-	LaunchRefused
-	GangLeaving
-	HeldBack
-	RecordFull
-	Booting
-	Hiring
-	NoCapacity
-	OutOfRoom
-	ImageFetch
-	Launching
-	PartDark
-	PartUnowned
-	PartUnheard
-	PartLoading
-	TeamUnknown
+	ReasonNone Reason = iota
+	ReasonOther
+	ReasonStoreUnavailable
+	ReasonViewStale
+	ReasonShardHandover
+	ReasonOutcomeUnknown
+	ReasonSuspectJob
+	ReasonLimitUnknown
+	ReasonAtLimit
+	ReasonLaunchRefused
+	ReasonGangStopping
+	ReasonHeldBack
+	ReasonRecordFull
+	ReasonBooting
+	ReasonRenting
+	ReasonNoCapacity
+	ReasonNoRoom
+	ReasonImageFetch
+	ReasonLaunching
+	ReasonShardSilent
+	ReasonShardUnowned
+	ReasonOwnerSilent
+	ReasonShardLoading
+	ReasonTeamUnknown
 )
 
 // reasons gives each reason's name, as JSON and metrics have it, and what tables say.
 var reasons = [...]struct{ name, text string }{
-	NoReason:        {"none", "nothing waits"},
-	OtherReason:     {"other", "a reason that only a newer version knows"},
-	StoreAway:       {"store_away", "the state service is out of reach"},
-	ViewStale:       {"view_stale", "withdrawals may not be heard in time: the view of the jobs is stale"},
-	PartHandingOver: {"part_yielding", "the part is being handed over"},
-	OutcomeUnknown:  {"outcome_unknown", "a transaction's outcome is being looked up"},
-	InDoubt:         {"in_doubt", "its tasks fail on every machine"},
-	LimitUnknown:    {"limit_unknown", "the team's grants are not known yet"},
-	AtLimit:         {"at_limit", "the team's limit is used up"},
-	LaunchRefused:   {"launch_refused", "its last start was refused a moment ago"},
-	GangLeaving:     {"gang_leaving", "the gang's last try is still on its machines"},
-	HeldBack:        {"held_back", "it only fills room, and none is left over by others"},
-	RecordFull:      {"record_full", "as many of its tasks are placed as its record can list"},
-	Booting:         {"booting", "no room; machines are booting"},
-	Hiring:          {"hiring", "no room; machines are being asked for"},
-	NoCapacity:      {"no_capacity", "no room; the cloud has no machine to give"},
-	OutOfRoom:       {"no_room", "no room on the machines there are"},
-	ImageFetch:      {"image_fetch", "its image is being fetched"},
-	Launching:       {"launching", "it is placed and not reported running yet"},
-	PartDark:        {"part_dark", "none of the part's workers is heard"},
-	PartUnowned:     {"part_unowned", "the part has no owner"},
-	PartUnheard:     {"part_unheard", "the part's owner has not been heard of lately"},
-	PartLoading:     {"part_loading", "the part's new owner is loading it"},
-	TeamUnknown:     {"team_unknown", "the settings do not name its team"},
+	ReasonNone:             {"none", "nothing waits"},
+	ReasonOther:            {"other", "a reason that only a newer version knows"},
+	ReasonStoreUnavailable: {"store_away", "the state service is out of reach"},
+	ReasonViewStale:        {"view_stale", "withdrawals may not be heard in time: the view of the jobs is stale"},
+	ReasonShardHandover:    {"part_yielding", "the part is being handed over"},
+	ReasonOutcomeUnknown:   {"outcome_unknown", "a transaction's outcome is being looked up"},
+	ReasonSuspectJob:       {"in_doubt", "its tasks fail on every machine"},
+	ReasonLimitUnknown:     {"limit_unknown", "the team's grants are not known yet"},
+	ReasonAtLimit:          {"at_limit", "the team's limit is used up"},
+	ReasonLaunchRefused:    {"launch_refused", "its last start was refused a moment ago"},
+	ReasonGangStopping:     {"gang_leaving", "the gang's last try is still on its machines"},
+	ReasonHeldBack:         {"held_back", "it only fills room, and none is left over by others"},
+	ReasonRecordFull:       {"record_full", "as many of its tasks are placed as its record can list"},
+	ReasonBooting:          {"booting", "no room; machines are booting"},
+	ReasonRenting:          {"hiring", "no room; machines are being asked for"},
+	ReasonNoCapacity:       {"no_capacity", "no room; the cloud has no machine to give"},
+	ReasonNoRoom:           {"no_room", "no room on the machines there are"},
+	ReasonImageFetch:       {"image_fetch", "its image is being fetched"},
+	ReasonLaunching:        {"launching", "it is placed and not reported running yet"},
+	ReasonShardSilent:      {"part_dark", "none of the part's workers is heard"},
+	ReasonShardUnowned:     {"part_unowned", "the part has no owner"},
+	ReasonOwnerSilent:      {"part_unheard", "the part's owner has not been heard of lately"},
+	ReasonShardLoading:     {"part_loading", "the part's new owner is loading it"},
+	ReasonTeamUnknown:      {"team_unknown", "the settings do not name its team"},
 }
 
 func (r Reason) known() Reason {
 	if r < 0 || int(r) >= len(reasons) {
-		return OtherReason
+		return ReasonOther
 	}
 	return r
 }
@@ -86,7 +86,7 @@
 
 // UnmarshalText takes a name.
 func (r *Reason) UnmarshalText(b []byte) error {
-	*r = OtherReason
+	*r = ReasonOther
 	for i := range reasons {
 		if reasons[i].name == string(b) {
 			*r = Reason(i)
@@ -95,31 +95,31 @@
 	return nil
 }
 
-// Tally counts tasks by how far they have come.
-type Tally struct {
-	Up       int `json:"up"`       // running
+// TaskCounts counts tasks by how far they have come.
+type TaskCounts struct {
+	Running  int `json:"up"`       // running
 	Starting int `json:"starting"` // placed, not reported by their worker as running or fetching
 	Fetching int `json:"fetching"` // on a machine, waiting for their image
 	Waiting  int `json:"waiting"`  // not placed
 }
 
-func (n Tally) missing() int { return n.Starting + n.Fetching + n.Waiting }
+func (n TaskCounts) missing() int { return n.Starting + n.Fetching + n.Waiting }
 
 // Add adds another's counts.
-func (n *Tally) Add(m Tally) {
-	n.Up += m.Up
+func (n *TaskCounts) Add(m TaskCounts) {
+	n.Running += m.Running
 	n.Starting += m.Starting
 	n.Fetching += m.Fetching
 	n.Waiting += m.Waiting
 }
 
-func (s *slice) tally() Tally {
-	n := Tally{Waiting: s.waiting.count()}
-	for _, t := range s.tasks {
-		switch t.state {
-		case Running, Saving:
-			n.Up++
-		case Fetching:
+func (a *Assignment) counts() TaskCounts {
+	n := TaskCounts{Waiting: a.waiting.count()}
+	for _, task := range a.tasks {
+		switch task.state {
+		case TaskRunning, TaskSaving:
+			n.Running++
+		case TaskFetching:
 			n.Fetching++
 		default:
 			n.Starting++
@@ -130,13 +130,13 @@
 
 // Queue is what of a class and team in a part does not run yet.
 type Queue struct {
-	Part  string `json:"part"`
+	Shard string `json:"part"`
 	Class string `json:"class"`
 	Team  string `json:"team"`
-	Tally
-	WaitS float64 `json:"wait_s"` // of the job that lacks running tasks longest
-	Job   string  `json:"job"`    // that one
-	Why   Reason  `json:"why"`    // what it waits for
+	TaskCounts
+	WaitSeconds float64 `json:"wait_s"` // of the job that lacks running tasks longest
+	Job         string  `json:"job"`    // that one
+	Reason      Reason  `json:"why"`    // what it waits for
 }
 
 // ServiceStatus is a service in all parts, as far as known here.
@@ -145,101 +145,101 @@
 	Class  string `json:"class"`
 	Team   string `json:"team"`
 	Wanted int    `json:"wanted"`
-	Tally
-	Unknown  int       `json:"unknown"` // nobody who was heard of lately accounts for them
-	MissingS float64   `json:"missing_s"`
-	Why      []PartWhy `json:"why,omitempty"`
+	TaskCounts
+	Unaccounted    int           `json:"unknown"` // nobody who was heard of lately accounts for them
+	MissingSeconds float64       `json:"missing_s"`
+	Reasons        []ShardReason `json:"why,omitempty"`
 }
 
-// PartWhy is why a part's replicas of a service do not all run.
-type PartWhy struct {
-	Part   string `json:"part"`
-	Why    Reason `json:"why"`
+// ShardReason is why a part's replicas of a service do not all run.
+type ShardReason struct {
+	Shard  string `json:"part"`
+	Reason Reason `json:"why"`
 	Detail string `json:"detail,omitempty"`
 }
 
-// seeMissing notes since when some of a slice's tasks have not been running. It is
+// trackMissing notes since when some of a slice's tasks have not been running. It is
 // called twice a second; a slice begins with the time of its job.
-func (c *Core) seeMissing(s *slice, n Tally) {
+func (c *Core) trackMissing(assignment *Assignment, n TaskCounts) {
 	switch {
 	case n.missing() == 0:
-		s.missingAt = 0
-	case s.missingAt == 0:
-		s.missingAt = c.now
+		assignment.missingSince = 0
+	case assignment.missingSince == 0:
+		assignment.missingSince = c.now
 	}
 }
 
-func (c *Core) missingS(s *slice) float64 {
-	if s.missingAt == 0 {
+func (c *Core) missingSeconds(assignment *Assignment) float64 {
+	if assignment.missingSince == 0 {
 		return 0
 	}
-	return seconds(c.now - s.missingAt)
+	return seconds(c.now - assignment.missingSince)
 }
 
-// why names what binds a slice of which some tasks do not run: what the waiting ones
+// whyMissing names what binds a slice of which some tasks do not run: what the waiting ones
 // wait for, else what those that are placed do.
-func (c *Core) why(p *part, s *slice, n Tally, first map[int]*host) (Reason, string) {
+func (c *Core) whyMissing(shard *Shard, assignment *Assignment, n TaskCounts, first map[int]*Host) (Reason, string) {
 	switch {
 	case n.Waiting > 0:
-		return c.whyWaiting(p, s, first)
+		return c.whyWaiting(shard, assignment, first)
 	case n.Fetching > 0:
-		return ImageFetch, c.fetchDetail(s)
+		return ReasonImageFetch, c.fetchDetail(assignment)
 	case n.Starting > 0:
-		return Launching, Launching.String()
+		return ReasonLaunching, ReasonLaunching.String()
 	}
-	return NoReason, ""
+	return ReasonNone, ""
 }
 
 // fetchDetail says where the last of a slice's images is expected, and when.
-func (c *Core) fetchDetail(s *slice) string {
-	var last *task
+func (c *Core) fetchDetail(assignment *Assignment) string {
+	var last *Task
 	at := time.Duration(-1)
-	for _, i := range sorted(s.tasks) {
-		if t := s.tasks[i]; t.state == Fetching && t.host.fetching[s.job.image] > at {
-			last, at = t, t.host.fetching[s.job.image]
+	for _, i := range sorted(assignment.tasks) {
+		if t := assignment.tasks[i]; t.state == TaskFetching && t.host.fetching[assignment.job.image] > at {
+			last, at = t, t.host.fetching[assignment.job.image]
 		}
 	}
 	if last == nil {
-		return ImageFetch.String()
+		return ReasonImageFetch.String()
 	}
-	return fmt.Sprintf("%s; on %s for %.0f s, expected in %.0f s", ImageFetch, last.host.name,
-		seconds(c.now-last.fetchFrom), seconds(max(at-c.now, 0)))
+	return fmt.Sprintf("%s; on %s for %.0f s, expected in %.0f s", ReasonImageFetch, last.host.name,
+		seconds(c.now-last.fetchStartedAt), seconds(max(at-c.now, 0)))
 }
 
-// tallies counts the tasks of a part owned here by class and team, and gives of each
+// countTasks counts the tasks of a part owned here by class and team, and gives of each
 // the slice that has lacked running tasks longest.
-func (c *Core) tallies(p *part, which func(*job) bool) ([]Queue, []*slice) {
+func (c *Core) countTasks(shard *Shard, which func(*Job) bool) ([]Queue, []*Assignment) {
 	at := map[[2]int]int{}
 	var out []Queue
-	var longest []*slice
-	for _, id := range sorted(p.slices) {
-		s := p.slices[id]
-		if s.job.standing != Pending || !which(s.job) {
+	var longest []*Assignment
+	for _, id := range sorted(shard.assignments) {
+		assignment := shard.assignments[id]
+		if assignment.job.state != JobPending || !which(assignment.job) {
 			continue
 		}
-		of := [2]int{s.job.class, s.job.team}
+		of := [2]int{assignment.job.class, assignment.job.team}
 		k, seen := at[of]
 		if !seen {
 			k = len(out)
 			at[of] = k
-			out = append(out, Queue{Part: p.name, Class: s.job.spec.Class, Team: s.job.spec.Team})
-			longest = append(longest, s)
+			out = append(out, Queue{Shard: shard.name, Class: assignment.job.spec.Class, Team: assignment.job.spec.Team})
+			longest = append(longest, assignment)
 		}
-		out[k].Add(s.tally())
-		if c.missingS(s) > c.missingS(longest[k]) {
-			longest[k] = s
+		out[k].Add(assignment.counts())
+		if c.missingSeconds(assignment) > c.missingSeconds(longest[k]) {
+			longest[k] = assignment
 		}
 	}
 	return out, longest
 }
 
-// queuesOf sums up what does not run yet in a part owned here, the longest wait first.
-func (c *Core) queuesOf(p *part, first map[int]*host) []Queue {
-	out, longest := c.tallies(p, func(*job) bool { return true })
-	for k, s := range longest {
+// shardQueues sums up what does not run yet in a part owned here, the longest wait first.
+func (c *Core) shardQueues(shard *Shard, first map[int]*Host) []Queue {
+	out, longest := c.countTasks(shard, func(*Job) bool { return true })
+	for k, assignment := range longest {
 		if out[k].missing() > 0 {
-			out[k].Job, out[k].WaitS = s.job.id, math.Round(c.missingS(s))
-			out[k].Why, _ = c.why(p, s, s.tally(), first)
+			out[k].Job, out[k].WaitSeconds = assignment.job.id, math.Round(c.missingSeconds(assignment))
+			out[k].Reason, _ = c.whyMissing(shard, assignment, assignment.counts(), first)
 		}
 	}
 	out = slices.DeleteFunc(out, func(q Queue) bool { return q.missing() == 0 })
@@ -258,10 +258,10 @@
 // Gauges reads them.
 func (c *Core) Gauges() Gauges {
 	g := Gauges{Stats: c.stats}
-	for _, p := range c.parts {
-		if p.mine && p.loaded {
-			g.Queues = append(g.Queues, c.queuesOf(p, c.firstUp(p))...)
-			replicas, _ := c.tallies(p, func(j *job) bool { return j.spec.Service })
+	for _, shard := range c.shards {
+		if shard.owned && shard.loaded {
+			g.Queues = append(g.Queues, c.shardQueues(shard, c.nextHostsUp(shard))...)
+			replicas, _ := c.countTasks(shard, func(j *Job) bool { return j.spec.Service })
 			g.Replicas = append(g.Replicas, replicas...)
 		}
 	}
@@ -269,95 +269,95 @@
 }
 
 func longestFirst(a, b Queue) int {
-	return cmp.Or(cmp.Compare(b.WaitS, a.WaitS), cmp.Compare(a.Class, b.Class), cmp.Compare(a.Team, b.Team))
+	return cmp.Or(cmp.Compare(b.WaitSeconds, a.WaitSeconds), cmp.Compare(a.Class, b.Class), cmp.Compare(a.Team, b.Team))
 }
 
-// heardWithin is how old an owner's gossip may be for its counts to be believed.
-const heardWithin = 5 * time.Second
+// gossipValidFor is how old an owner's gossip may be for its counts to be believed.
+const gossipValidFor = 5 * time.Second
 
-// unheard says why a part's tasks are not accounted for here; NoReason if they are.
-func (c *Core) unheard(p *part) Reason {
+// whyUnaccounted says why a part's tasks are not accounted for here; NoReason if they are.
+func (c *Core) whyUnaccounted(shard *Shard) Reason {
 	switch {
-	case p.mine && p.loaded:
-		return NoReason
-	case p.mine || p.claiming:
-		return PartLoading
-	case p.owner == "":
-		return PartUnowned
-	case p.view == nil || c.now > p.viewAt+heardWithin:
-		return PartUnheard
+	case shard.owned && shard.loaded:
+		return ReasonNone
+	case shard.owned || shard.claiming:
+		return ReasonShardLoading
+	case shard.owner == "":
+		return ReasonShardUnowned
+	case shard.view == nil || c.now > shard.viewAt+gossipValidFor:
+		return ReasonOwnerSilent
 	}
-	return NoReason
+	return ReasonNone
 }
 
 // services describes all services, those that miss replicas longest first; only one, if
 // its name is given.
 func (c *Core) services(only string) []ServiceStatus {
 	of := map[string]*ServiceStatus{}
-	for id, j := range c.jobs {
-		if j.spec.Service && (only == "" || id == only) {
-			of[id] = &ServiceStatus{Job: id, Class: j.spec.Class, Team: j.spec.Team, Wanted: j.spec.Tasks}
+	for id, job := range c.jobs {
+		if job.spec.Service && (only == "" || id == only) {
+			of[id] = &ServiceStatus{Job: id, Class: job.spec.Class, Team: job.spec.Team, Wanted: job.spec.Tasks}
 		}
 	}
 	if len(of) == 0 {
 		return nil
 	}
-	for _, p := range c.parts {
+	for _, p := range c.shards {
 		c.addReplicas(p, of)
 	}
 	var out []ServiceStatus
 	for _, id := range sorted(of) {
 		s := of[id]
-		s.Unknown = max(s.Wanted-s.Up-s.missing(), 0)
-		for _, p := range c.parts {
-			if why := c.unheard(p); s.Unknown > 0 && why != NoReason {
-				s.Why = append(s.Why, PartWhy{p.name, why, ""})
+		s.Unaccounted = max(s.Wanted-s.Running-s.missing(), 0)
+		for _, shard := range c.shards {
+			if why := c.whyUnaccounted(shard); s.Unaccounted > 0 && why != ReasonNone {
+				s.Reasons = append(s.Reasons, ShardReason{shard.name, why, ""})
 			}
 		}
 		out = append(out, *s)
 	}
-	slices.SortStableFunc(out, func(a, b ServiceStatus) int { return cmp.Compare(b.MissingS, a.MissingS) })
+	slices.SortStableFunc(out, func(a, b ServiceStatus) int { return cmp.Compare(b.MissingSeconds, a.MissingSeconds) })
 	return out
 }
 
 // addReplicas adds a part's replicas: by own knowledge, or by its owner's last word.
-func (c *Core) addReplicas(p *part, of map[string]*ServiceStatus) {
+func (c *Core) addReplicas(shard *Shard, of map[string]*ServiceStatus) {
 	switch {
-	case p.mine && p.loaded:
-		first := c.firstUp(p)
-		for id, s := range p.slices {
+	case shard.owned && shard.loaded:
+		first := c.nextHostsUp(shard)
+		for id, assignment := range shard.assignments {
 			if of[id] != nil {
-				n := s.tally()
-				why, detail := c.why(p, s, n, first)
-				of[id].addPart(n, c.missingS(s), PartWhy{p.name, why, detail})
+				n := assignment.counts()
+				why, detail := c.whyMissing(shard, assignment, n, first)
+				of[id].addShard(n, c.missingSeconds(assignment), ShardReason{shard.name, why, detail})
 			}
 		}
-	case c.unheard(p) == NoReason:
-		for _, s := range c.shown[p.name] {
+	case c.whyUnaccounted(shard) == ReasonNone:
+		for _, s := range c.jobCounts[shard.name] {
 			if of[s.ID] != nil {
-				of[s.ID].addPart(s.tally(), s.MissingS, PartWhy{p.name, s.Why, ""})
+				of[s.ID].addShard(s.counts(), s.MissingSeconds, ShardReason{shard.name, s.Reason, ""})
 			}
 		}
 	}
 }
 
-func (s *ServiceStatus) addPart(n Tally, missingS float64, why PartWhy) {
+func (s *ServiceStatus) addShard(n TaskCounts, missingS float64, why ShardReason) {
 	s.Add(n)
-	s.MissingS = max(s.MissingS, missingS)
+	s.MissingSeconds = max(s.MissingSeconds, missingS)
 	if n.missing() > 0 {
-		s.Why = append(s.Why, why)
+		s.Reasons = append(s.Reasons, why)
 	}
 }
 
 // queues are those of all parts, the longest wait first.
 func (c *Core) queues() []Queue {
 	out := []Queue{}
-	for _, p := range c.parts {
+	for _, shard := range c.shards {
 		switch {
-		case p.mine && p.loaded:
-			out = append(out, c.queuesOf(p, c.firstUp(p))...)
-		case p.view != nil && c.unheard(p) == NoReason:
-			out = append(out, p.view.Queues...)
+		case shard.owned && shard.loaded:
+			out = append(out, c.shardQueues(shard, c.nextHostsUp(shard))...)
+		case shard.view != nil && c.whyUnaccounted(shard) == ReasonNone:
+			out = append(out, shard.view.Queues...)
 		}
 	}
 	slices.SortStableFunc(out, longestFirst)
--- a/internal/core/ranges.go
+++ b/internal/core/ranges.go
@@ -2,11 +2,11 @@
 
 import "sort"
 
-// ranges is a set of task numbers as sorted, disjoint, half-open ranges. A
+// taskRanges is a set of task numbers as sorted, disjoint, half-open ranges. A
 // job of 100,000 tasks stays a few numbers long.
-type ranges [][2]int
+type taskRanges [][2]int
 
-func (r ranges) count() int {
+func (r taskRanges) count() int {
 	n := 0
 	for _, x := range r {
 		n += x[1] - x[0]
@@ -15,16 +15,16 @@
 }
 
 // find returns the position of the first range that ends after i.
-func (r ranges) find(i int) int {
+func (r taskRanges) find(i int) int {
 	return sort.Search(len(r), func(k int) bool { return r[k][1] > i })
 }
 
-func (r ranges) has(i int) bool {
+func (r taskRanges) has(i int) bool {
 	k := r.find(i)
 	return k < len(r) && r[k][0] <= i
 }
 
-func (r *ranges) add(i int) {
+func (r *taskRanges) add(i int) {
 	if r.has(i) {
 		return
 	}
@@ -46,7 +46,7 @@
 	}
 }
 
-func (r *ranges) remove(i int) {
+func (r *taskRanges) remove(i int) {
 	if !r.has(i) {
 		return
 	}
@@ -68,7 +68,7 @@
 }
 
 // first lists up to n members, lowest first.
-func (r ranges) first(n int) []int {
+func (r taskRanges) first(n int) []int {
 	var out []int
 	for _, x := range r {
 		for i := x[0]; i < x[1]; i++ {
@@ -81,4 +81,4 @@
 	return out
 }
 
-func (r ranges) clone() ranges { return append(ranges(nil), r...) }
+func (r taskRanges) clone() taskRanges { return append(taskRanges(nil), r...) }
--- a/internal/core/status.go
+++ b/internal/core/status.go
@@ -5,44 +5,44 @@
 // Status is what operators are shown of a controller. It is a copy: reading it
 // costs the owner goroutine one short walk and the state service nothing.
 type Status struct {
-	Label    string          `json:"label"`
-	Zone     string          `json:"zone"`
-	Healthy  bool            `json:"healthy"`
-	Store    Freshness       `json:"store"`
-	Cloud    Freshness       `json:"cloud"`
-	Degraded []Degraded      `json:"degraded"`
-	Parts    []PartStatus    `json:"parts"`
-	Teams    []TeamStatus    `json:"teams"`
-	Classes  []ClassCount    `json:"classes"`
-	Queues   []Queue         `json:"queues"`
-	Services []ServiceStatus `json:"services"`
-	Doubtful []Doubtful      `json:"doubtful"`
-	Peers    []PeerStatus    `json:"peers"`
-	Stats    Stats           `json:"stats"`
+	Label        string          `json:"label"`
+	Zone         string          `json:"zone"`
+	Healthy      bool            `json:"healthy"`
+	StateService DataAge         `json:"store"`
+	Cloud        DataAge         `json:"cloud"`
+	Degraded     []DegradedMode  `json:"degraded"`
+	Shards       []ShardStatus   `json:"parts"`
+	Teams        []TeamStatus    `json:"teams"`
+	Classes      []ClassCount    `json:"classes"`
+	Queues       []Queue         `json:"queues"`
+	Services     []ServiceStatus `json:"services"`
+	SuspectJobs  []SuspectJob    `json:"doubtful"`
+	Peers        []PeerStatus    `json:"peers"`
+	Stats        Stats           `json:"stats"`
 }
 
-// Freshness is how old a view is, in seconds; negative when there is none.
-type Freshness struct {
-	AgeS float64 `json:"age_s"`
+// DataAge is how old a view is, in seconds; negative when there is none.
+type DataAge struct {
+	AgeSeconds float64 `json:"age_s"`
 }
 
-// Degraded is a mode other than the ordinary one.
-type Degraded struct {
-	Mode   string  `json:"mode"`
-	SinceS float64 `json:"since_s"`
+// DegradedMode is a mode other than the ordinary one.
+type DegradedMode struct {
+	Mode         string  `json:"mode"`
+	SinceSeconds float64 `json:"since_s"`
 }
 
-// PartStatus is a part as known here.
-type PartStatus struct {
-	Zone    string      `json:"zone"`
-	Owner   string      `json:"owner"`
-	Token   uint64      `json:"token"`
-	Here    bool        `json:"here"`
-	Loaded  bool        `json:"loaded"`
-	Hosts   []HostCount `json:"hosts,omitempty"`
-	Jobs    int         `json:"jobs"`
-	Waiting int         `json:"waiting"`
-	Running int         `json:"running"`
+// ShardStatus is a part as known here.
+type ShardStatus struct {
+	Zone      string      `json:"zone"`
+	Owner     string      `json:"owner"`
+	Token     uint64      `json:"token"`
+	OwnedHere bool        `json:"here"`
+	Loaded    bool        `json:"loaded"`
+	Hosts     []HostCount `json:"hosts,omitempty"`
+	Jobs      int         `json:"jobs"`
+	Waiting   int         `json:"waiting"`
+	Running   int         `json:"running"`
 }
 
 // HostCount counts machines that are alike.
@@ -55,13 +55,13 @@
 
 // TeamStatus is a team's use in all parts, as far as known here.
 type TeamStatus struct {
-	Team           string  `json:"team"`
-	Cores          float64 `json:"cores"`
-	Guarantee      float64 `json:"guarantee"`
-	Limit          float64 `json:"limit"`
-	Cards          float64 `json:"cards"`
-	CardsGuarantee float64 `json:"cards_guarantee"`
-	CardsLimit     float64 `json:"cards_limit"`
+	Team          string  `json:"team"`
+	Cores         float64 `json:"cores"`
+	Guarantee     float64 `json:"guarantee"`
+	Limit         float64 `json:"limit"`
+	GPUs          float64 `json:"cards"`
+	GPUsGuarantee float64 `json:"cards_guarantee"`
+	GPUsLimit     float64 `json:"cards_limit"`
 }
 
 // ClassCount counts the tasks of a class in the parts owned here.
@@ -71,22 +71,22 @@
 	Running int    `json:"running"`
 }
 
-// Doubtful is a job whose tasks fail on every machine, as one does that was
+// SuspectJob is a job whose tasks fail on every machine, as one does that was
 // submitted with a mistake.
-type Doubtful struct {
-	Job      string   `json:"job"`
-	Team     string   `json:"team"`
-	Class    string   `json:"class"`
-	Failures int      `json:"failures"`
-	Hosts    []string `json:"hosts"`
-	NextS    float64  `json:"next_s"`
+type SuspectJob struct {
+	Job              string   `json:"job"`
+	Team             string   `json:"team"`
+	Class            string   `json:"class"`
+	Failures         int      `json:"failures"`
+	Hosts            []string `json:"hosts"`
+	NextTrialSeconds float64  `json:"next_s"`
 }
 
 // PeerStatus is another controller as seen from here.
 type PeerStatus struct {
-	Label   string  `json:"label"`
-	AgeS    float64 `json:"age_s"`
-	StoreOK bool    `json:"store_ok"`
+	Label          string  `json:"label"`
+	AgeSeconds     float64 `json:"age_s"`
+	StateServiceOK bool    `json:"store_ok"`
 }
 
 // Stats returns the counters.
@@ -95,72 +95,72 @@
 // Status describes the controller.
 func (c *Core) Status() Status {
 	s := Status{Label: c.cfg.Label, Zone: c.cfg.Zone, Healthy: c.Healthy(), Stats: c.stats,
-		Store: Freshness{-1}, Cloud: Freshness{-1}}
-	if f, ok := c.fresh(); ok {
-		s.Store.AgeS = seconds(c.now - f)
+		StateService: DataAge{-1}, Cloud: DataAge{-1}}
+	if f, ok := c.cancellationsKnownUntil(); ok {
+		s.StateService.AgeSeconds = seconds(c.now - f)
 	}
-	if c.catalogAt > 0 {
-		s.Cloud.AgeS = seconds(c.now - c.cloudOK)
+	if c.catalogReadAt > 0 {
+		s.Cloud.AgeSeconds = seconds(c.now - c.cloudOKAt)
 	}
-	s.Degraded = c.degraded()
+	s.Degraded = c.degradedModes()
 	waiting, running := map[int]int{}, map[int]int{}
-	for _, p := range c.parts {
-		ps := PartStatus{Zone: p.name, Owner: p.owner, Token: p.stamp, Here: p.mine, Loaded: p.loaded}
-		if !p.mine && p.view != nil {
-			for _, h := range p.view.Hosts {
+	for _, shard := range c.shards {
+		ps := ShardStatus{Zone: shard.name, Owner: shard.owner, Token: shard.revision, OwnedHere: shard.owned, Loaded: shard.loaded}
+		if !shard.owned && shard.view != nil {
+			for _, h := range shard.view.Hosts {
 				state := "up"
-				if h.Up > 0 {
+				if h.ReadyInSeconds > 0 {
 					state = "booting"
 				}
-				ps.count(h.Type, h.Spot, state, h.Count)
+				ps.addHosts(h.Type, h.Spot, state, h.Count)
 			}
 		}
-		for _, h := range p.hostList() {
+		for _, host := range shard.hostList() {
 			typ := "unknown"
-			if h.typ >= 0 {
-				typ = c.types[h.typ].Name
+			if host.typeIndex >= 0 {
+				typ = c.types[host.typeIndex].Name
 			}
-			ps.count(typ, h.spot, h.stateName(c.now), 1)
+			ps.addHosts(typ, host.spot, host.stateName(c.now), 1)
 		}
-		for _, sl := range p.slices {
-			if sl.job.standing != Pending {
+		for _, assignment := range shard.assignments {
+			if assignment.job.state != JobPending {
 				continue
 			}
 			ps.Jobs++
-			w, r := sl.waiting.count(), len(sl.tasks)
+			w, r := assignment.waiting.count(), len(assignment.tasks)
 			ps.Waiting += w
 			ps.Running += r
-			waiting[sl.job.class] += w
-			running[sl.job.class] += r
+			waiting[assignment.job.class] += w
+			running[assignment.job.class] += r
 		}
-		s.Parts = append(s.Parts, ps)
+		s.Shards = append(s.Shards, ps)
 	}
-	for t, l := range c.limits {
-		s.Teams = append(s.Teams, TeamStatus{l.Name, c.teamUse(t).Cores, l.Guarantee.Cores, l.Limit.Cores,
-			c.teamUse(t).Cards, l.Guarantee.Cards, l.Limit.Cards})
+	for t, l := range c.teamConfigs {
+		s.Teams = append(s.Teams, TeamStatus{l.Name, c.teamUsage(t).Cores, l.Guarantee.Cores, l.Limit.Cores,
+			c.teamUsage(t).GPUs, l.Guarantee.GPUs, l.Limit.GPUs})
 	}
-	for i, name := range c.classes.list {
+	for i, name := range c.classes.names {
 		if waiting[i]+running[i] > 0 {
 			s.Classes = append(s.Classes, ClassCount{name, waiting[i], running[i]})
 		}
 	}
 	s.Queues, s.Services = c.queues(), c.services("")
 	for _, id := range sorted(c.jobs) {
-		if j := c.jobs[id]; j.doubt > 0 {
-			s.Doubtful = append(s.Doubtful, Doubtful{id, j.spec.Team, j.spec.Class, j.failures, j.failedNames(), seconds(max(j.doubtAt-c.now, 0))})
+		if j := c.jobs[id]; j.failedTrials > 0 {
+			s.SuspectJobs = append(s.SuspectJobs, SuspectJob{id, j.spec.Team, j.spec.Class, j.failures, j.failedHosts(), seconds(max(j.nextTrialAt-c.now, 0))})
 		}
 	}
-	for _, q := range c.peers {
-		ps := PeerStatus{Label: q.Label, AgeS: -1}
-		if q.gossip != nil {
-			ps.AgeS, ps.StoreOK = seconds(c.now-q.gossipAt), q.gossip.StoreOK
+	for _, peer := range c.peers {
+		ps := PeerStatus{Label: peer.Label, AgeSeconds: -1}
+		if peer.gossip != nil {
+			ps.AgeSeconds, ps.StateServiceOK = seconds(c.now-peer.gossipAt), peer.gossip.StoreOK
 		}
 		s.Peers = append(s.Peers, ps)
 	}
 	return s
 }
 
-func (p *PartStatus) count(typ string, spot bool, state string, n int) {
+func (p *ShardStatus) addHosts(typ string, spot bool, state string, n int) {
 	for i := range p.Hosts {
 		if h := &p.Hosts[i]; h.Type == typ && h.Spot == spot && h.State == state {
 			h.Count += n
@@ -170,54 +170,54 @@
 	p.Hosts = append(p.Hosts, HostCount{typ, spot, state, n})
 }
 
-func (h *host) stateName(now time.Duration) string {
+func (h *Host) stateName(now time.Duration) string {
 	switch {
-	case h.state == booting:
+	case h.state == hostBooting:
 		return "booting"
-	case h.state == returning:
+	case h.state == hostReturning:
 		return "returning"
-	case h.expired:
+	case h.leaseExpired:
 		return "lease over"
-	case h.recall > 0:
+	case h.reclaimedAt > 0:
 		return "recalled"
-	case h.failed:
+	case h.faulty:
 		return "faulty"
-	case h.deaf:
+	case h.unreachable:
 		return "deaf"
 	case h.cordoned:
 		return "cordoned"
-	case !h.usable(now):
+	case !h.isUsable(now):
 		return "silent"
 	}
 	return "up"
 }
 
-// degraded lists the modes in force and since when.
-func (c *Core) degraded() []Degraded {
-	var out []Degraded
-	add := func(mode string, since float64) { out = append(out, Degraded{mode, since}) }
-	if !c.storeWell() && c.storeBadSince > 0 {
+// degradedModes lists the modes in force and since when.
+func (c *Core) degradedModes() []DegradedMode {
+	var out []DegradedMode
+	add := func(mode string, since float64) { out = append(out, DegradedMode{mode, since}) }
+	if !c.storeReachable() && c.storeBadSince > 0 {
 		add("state service out of reach", seconds(c.now-c.storeBadSince))
 	}
-	f, ok := c.fresh()
-	if !c.mayStart() {
+	f, ok := c.cancellationsKnownUntil()
+	if !c.mayStartTasks() {
 		add("starting nothing: withdrawals might be missed", seconds(c.now-f))
 	}
-	if ok && !c.mayAnswer() {
+	if ok && !c.mayAnswerWorkers() {
 		add("not answering workers: withdrawals might be missed", seconds(c.now-f))
 	}
 	if c.cloudBadSince > 0 {
 		add("cloud out of reach", seconds(c.now-c.cloudBadSince))
 	}
-	if c.now < c.cutOffUntil {
-		add("workers not heard; a part was handed over", seconds(c.now-(c.cutOffUntil-cutOffFor)))
+	if c.now < c.isolatedUntil {
+		add("workers not heard; a part was handed over", seconds(c.now-(c.isolatedUntil-isolatedFor)))
 	}
-	for _, p := range c.parts {
-		if p.known && p.owner == "" {
-			add("part "+p.name+" has no owner", seconds(c.now-p.freeSince))
+	for _, shard := range c.shards {
+		if shard.recordKnown && shard.owner == "" {
+			add("part "+shard.name+" has no owner", seconds(c.now-shard.freeSince))
 		}
-		if p.mine && !c.knowsWithdrawn(p) {
-			add("not answering workers of part "+p.name+": its slices are not read", seconds(c.now-p.blindAt))
+		if shard.owned && !c.knowsCancellations(shard) {
+			add("not answering workers of part "+shard.name+": its slices are not read", seconds(c.now-shard.unloadedSince))
 		}
 	}
 	return out
--- a/internal/core/timing.go
+++ b/internal/core/timing.go
@@ -6,81 +6,83 @@
 // 3 s with a lease of 14 s, or every 8 s with one of 38 s, and cancellations may end long
 // after a lease or soon after one.
 
-// AnswerFor is how long a controller may go on answering workers after its view of the
+// AnswerWindow is how long a controller may go on answering workers after its view of the
 // withdrawals has ended. A withdrawal may have been accepted elsewhere right after that;
 // once this controller falls silent, its workers' leases end within lease, and that must
 // be over cancel after the withdrawal, with room for drifting clocks and for the time a
 // report was under way. At 0 or less no worker can be answered at all.
-func AnswerFor(lease, cancel time.Duration) time.Duration {
+func AnswerWindow(lease, cancel time.Duration) time.Duration {
 	return cancel - lease - 2*time.Second - cancel/100
 }
 
-// holdShare is the part of a worker's lease that a controller's may last at most.
+// leaseTTLShare is the part of a worker's lease that a controller's may last at most.
 // When a controller stands still or is cut off, its lease must run out, its part be
 // claimed and its workers find the new owner before theirs have run out too; they
 // first wait for an answer, then go through the others one by one. With 8 s of 14
 // most workers' leases were lost to each controller that stood still.
-const holdShare = 0.28
+const leaseTTLShare = 0.28
 
-// leastHold is what it lasts in any case: a renewal must be able to go wrong once.
-const leastHold = 3 * time.Second
+// minLeaseTTL is what it lasts in any case: a renewal must be able to go wrong once.
+const minLeaseTTL = 3 * time.Second
 
 // Reports come a quarter late at most. One that is lost is given up after 4 s; the next
 // goes to another controller a second later, which names the owner.
-const lostReport = 7 * time.Second
+const lostHeartbeatTime = 7 * time.Second
 
-// InForce is what the operators' settings come to with these workers.
-func (k Knobs) InForce(report, lease time.Duration) Knobs {
-	k.Hold = min(k.Hold, max(time.Duration(holdShare*float64(lease)), leastHold))
-	k.SilentReturn = max(k.SilentReturn, report*5/4+lostReport)
+// Effective is what the operators' settings come to with these workers.
+func (k Tuning) Effective(report, lease time.Duration) Tuning {
+	k.LeaseTTL = min(k.LeaseTTL, max(time.Duration(leaseTTLShare*float64(lease)), minLeaseTTL))
+	k.ReturnSilentAfter = max(k.ReturnSilentAfter, report*5/4+lostHeartbeatTime)
 	return k
 }
 
-// TakenOverIn is how long workers are without an answer at least when their controller
+// FailoverTime is how long workers are without an answer at least when their controller
 // ends just before a late report of theirs: they must give that report up and ask another,
 // and one must have taken the part, once the controller's lease has run out. Whoever asks
 // before that goes round all controllers once more, the ended one among them, which takes a
 // second each and 5 s. A worker's lease must be longer. The whole grace is waited for if
 // the part's home is heard.
-func (k Knobs) TakenOverIn(report, lease time.Duration, homeHeard bool) time.Duration {
-	k = k.InForce(report, lease)
-	grace := k.Grace
+func (k Tuning) FailoverTime(report, lease time.Duration, homeHeard bool) time.Duration {
+	k = k.Effective(report, lease)
+	grace := k.TakeoverDelay
 	if !homeHeard {
-		grace = min(grace, noHome)
+		grace = min(grace, noHomeDelay)
 	}
-	return report*5/4 + max(5500*time.Millisecond, k.Hold+grace+time.Second)
+	return report*5/4 + max(5500*time.Millisecond, k.LeaseTTL+grace+time.Second)
 }
 
-// deafAfter is for how long nothing is heard of any worker of a part before its owner
+// isolationTimeout is for how long nothing is heard of any worker of a part before its owner
 // takes itself to be cut off from them: each should have reported by then.
-func (c *Core) deafAfter() time.Duration { return max(8*time.Second, c.cfg.Report*5/4+time.Second) }
+func (c *Core) isolationTimeout() time.Duration {
+	return max(8*time.Second, c.cfg.HeartbeatInterval*5/4+time.Second)
+}
 
-// startFor is for how long work may be started after the view of the withdrawals has
+// startWindow is for how long work may be started after the view of the withdrawals has
 // ended. What is started last, on a machine whose session has only begun, has a whole
 // lease before it, so the bound of the answers holds as well.
-func (c *Core) startFor() time.Duration {
-	return min(6*time.Second, AnswerFor(c.cfg.Lease, c.cfg.Cancel))
+func (c *Core) startWindow() time.Duration {
+	return min(6*time.Second, AnswerWindow(c.cfg.WorkerLease, c.cfg.CancelWithin))
 }
 
-// followFor is how long the state service may hold its answer back when nothing changes,
+// watchTimeout is how long the state service may hold its answer back when nothing changes,
 // and pauseFor for how long news of jobs, which are told directly as well, may gather
 // before it is asked again. An open call proves nothing, and workers can only be answered
 // while the view of the jobs is young enough.
-func (c *Core) followFor(v *view) time.Duration {
+func (c *Core) watchTimeout(watch *watchState) time.Duration {
 	const most = 2 * time.Second
-	if v != &c.jobsView {
+	if watch != &c.jobWatch {
 		return most
 	}
-	return c.shareOfAnswerFor(4, most)
+	return c.fractionOfAnswerWindow(4, most)
 }
 
-func (c *Core) pauseFor(v *view) time.Duration {
-	if v != &c.jobsView {
+func (c *Core) watchPause(watch *watchState) time.Duration {
+	if watch != &c.jobWatch {
 		return 250 * time.Millisecond
 	}
-	return c.shareOfAnswerFor(8, time.Second)
+	return c.fractionOfAnswerWindow(8, time.Second)
 }
 
-func (c *Core) shareOfAnswerFor(n int, most time.Duration) time.Duration {
-	return max(min(most, AnswerFor(c.cfg.Lease, c.cfg.Cancel)/time.Duration(n)), 100*time.Millisecond)
+func (c *Core) fractionOfAnswerWindow(n int, most time.Duration) time.Duration {
+	return max(min(most, AnswerWindow(c.cfg.WorkerLease, c.cfg.CancelWithin)/time.Duration(n)), 100*time.Millisecond)
 }
--- a/internal/core/values.go
+++ b/internal/core/values.go
@@ -19,23 +19,23 @@
 	formGrouped
 )
 
-// placed is a task on a machine, or on the way there, by the store's word.
-type placed struct {
+// placement is a task on a machine, or on the way there, by the store's word.
+type placement struct {
 	Index   int    `json:"i"`
 	Host    string `json:"h"`
 	Attempt uint64 `json:"a"`
 }
 
-// placedTasks are a slice's placed tasks, by number.
-type placedTasks []placed
+// placements are a slice's placed tasks, by number.
+type placements []placement
 
-// run is tasks on one machine: the first, how many follow one another, and the attempt
+// placementRun is tasks on one machine: the first, how many follow one another, and the attempt
 // of the first; those of the others follow it.
-type run [3]uint64
+type placementRun [3]uint64
 
 // grouped gives the tasks by machine.
-func (p placedTasks) grouped() map[string][]run {
-	out := map[string][]run{}
+func (p placements) grouped() map[string][]placementRun {
+	out := map[string][]placementRun{}
 	for _, t := range p {
 		runs := out[t.Host]
 		if n := len(runs); n > 0 {
@@ -44,17 +44,17 @@
 				continue
 			}
 		}
-		out[t.Host] = append(runs, run{uint64(t.Index), 1, t.Attempt})
+		out[t.Host] = append(runs, placementRun{uint64(t.Index), 1, t.Attempt})
 	}
 	return out
 }
 
 // UnmarshalJSON reads either form.
-func (p *placedTasks) UnmarshalJSON(b []byte) error {
+func (p *placements) UnmarshalJSON(b []byte) error {
 	if bytes.HasPrefix(b, []byte("[")) {
-		return json.Unmarshal(b, (*[]placed)(p))
+		return json.Unmarshal(b, (*[]placement)(p))
 	}
-	var byHost map[string][]run
+	var byHost map[string][]placementRun
 	if err := json.Unmarshal(b, &byHost); err != nil {
 		return err
 	}
@@ -62,35 +62,35 @@
 	for host, runs := range byHost {
 		for _, r := range runs {
 			for k := range r[1] {
-				*p = append(*p, placed{int(r[0] + k), host, r[2] + k})
+				*p = append(*p, placement{int(r[0] + k), host, r[2] + k})
 			}
 		}
 	}
-	slices.SortFunc(*p, func(a, b placed) int { return cmp.Compare(a.Index, b.Index) })
+	slices.SortFunc(*p, func(a, b placement) int { return cmp.Compare(a.Index, b.Index) })
 	return nil
 }
 
-// allReadGrouped says whether all controllers read grouped values.
-func (c *Core) allReadGrouped() bool {
-	for _, q := range c.peers {
-		if q.gossip == nil || q.gossip.Reads < formGrouped {
+// allPeersReadGrouped says whether all controllers read grouped values.
+func (c *Core) allPeersReadGrouped() bool {
+	for _, peer := range c.peers {
+		if peer.gossip == nil || peer.gossip.ValueFormat < formGrouped {
 			return false
 		}
 	}
 	return true
 }
 
-// encodeSlice is a slice's value for the store. One that outgrew the older form while
+// encodeAssignment is a slice's value for the store. One that outgrew the older form while
 // all read the newer stays in that.
-func (c *Core) encodeSlice(v *sliceValue) []byte {
-	if len(v.Placed) == 0 || !c.allReadGrouped() {
-		if b, _ := json.Marshal(v); len(v.Placed) == 0 || len(b) <= c.cfg.ValueBytes {
+func (c *Core) encodeAssignment(v *assignmentRecord) []byte {
+	if len(v.Placed) == 0 || !c.allPeersReadGrouped() {
+		if b, _ := json.Marshal(v); len(v.Placed) == 0 || len(b) <= c.cfg.MaxValueBytes {
 			return b
 		}
 	}
 	b, _ := json.Marshal(struct {
-		*sliceValue
-		Placed map[string][]run `json:"p"`
+		*assignmentRecord
+		Placed map[string][]placementRun `json:"p"`
 	}{v, v.Placed.grouped()})
 	return b
 }
@@ -122,106 +122,106 @@
 
 func hostBytes(name string) int { return quotedBytes(name) + bytesOfHost }
 
-func rangeBytes(j *job) int { return 2*digits(uint64(j.spec.Tasks)) + bytesOfRange }
+func rangeBytes(j *Job) int { return 2*digits(uint64(j.spec.Tasks)) + bytesOfRange }
 
 // taskBytes is the most that a placed task of a job takes, its machine not counted: as a
 // run of its own and, when it has ended, as a range of its own.
-func taskBytes(j *job, next uint64) int {
-	n := uint64(j.spec.Tasks)
-	return max(digits(n)+digits(next+n)+bytesOfRun, rangeBytes(j))
+func taskBytes(job *Job, next uint64) int {
+	n := uint64(job.spec.Tasks)
+	return max(digits(n)+digits(next+n)+bytesOfRun, rangeBytes(job))
 }
 
-// bytesLeft is what is left of a slice's value for further tasks, whatever becomes of
+// remainingValueBytes is what is left of a slice's value for further tasks, whatever becomes of
 // those that are placed, on machines by name, and of the job.
-func (c *Core) bytesLeft(j *job, next uint64, ranges int, onHost map[string]int) int {
-	if j.bytes == 0 {
-		b, _ := json.Marshal(j.stored(""))
-		j.bytes = len(b) + bytesAround
-		for _, zone := range c.zones.list {
-			j.bytes += quotedBytes(zone) + rangeBytes(j) + bytesOfZone
+func (c *Core) remainingValueBytes(job *Job, next uint64, ranges int, onHost map[string]int) int {
+	if job.maxRecordBytes == 0 {
+		b, _ := json.Marshal(job.record(""))
+		job.maxRecordBytes = len(b) + bytesAround
+		for _, zone := range c.zones.names {
+			job.maxRecordBytes += quotedBytes(zone) + rangeBytes(job) + bytesOfZone
 		}
 	}
-	left := c.cfg.ValueBytes - j.bytes - ranges*rangeBytes(j)
+	left := c.cfg.MaxValueBytes - job.maxRecordBytes - ranges*rangeBytes(job)
 	for name, n := range onHost {
-		left -= hostBytes(name) + n*taskBytes(j, next)
+		left -= hostBytes(name) + n*taskBytes(job, next)
 	}
 	return left
 }
 
-// ledger keeps a slice's value within the limit while tasks are placed.
-type ledger struct {
-	left, task int
-	onHost     map[string]int
+// sizeBudget keeps a slice's value within the limit while tasks are placed.
+type sizeBudget struct {
+	bytesLeft, bytesPerTask int
+	tasksByHost             map[string]int
 }
 
-func (c *Core) ledgerOf(s *slice) *ledger {
-	l := &ledger{task: taskBytes(s.job, s.next), onHost: map[string]int{}}
-	for _, t := range s.tasks {
-		l.onHost[t.host.name]++
+func (c *Core) sizeBudgetOf(assignment *Assignment) *sizeBudget {
+	budget := &sizeBudget{bytesPerTask: taskBytes(assignment.job, assignment.lastAttempt), tasksByHost: map[string]int{}}
+	for _, t := range assignment.tasks {
+		budget.tasksByHost[t.host.name]++
 	}
-	l.left = c.bytesLeft(s.job, s.next, len(s.waiting)+len(s.done), l.onHost)
-	if !c.allReadGrouped() { // as bounded as it is by an older form
-		l.left = min(l.left, c.cfg.ValueBytes-len(s.tasks)*bytesListed)
-		l.task = bytesListed
+	budget.bytesLeft = c.remainingValueBytes(assignment.job, assignment.lastAttempt, len(assignment.waiting)+len(assignment.done), budget.tasksByHost)
+	if !c.allPeersReadGrouped() { // as bounded as it is by an older form
+		budget.bytesLeft = min(budget.bytesLeft, c.cfg.MaxValueBytes-len(assignment.tasks)*bytesListed)
+		budget.bytesPerTask = bytesListed
 	}
-	return l
+	return budget
 }
 
 // bytesListed is what a task takes in a value of the older form.
 const bytesListed = 64
 
-// most is how many more tasks have room, with so many on a machine.
-func (l *ledger) most(perHost int, longest string) int {
+// maxTasks is how many more tasks have room, with so many on a machine.
+func (b *sizeBudget) maxTasks(perHost int, longest string) int {
 	perHost = min(max(perHost, 1), 64)
-	return max(l.left, 0) * perHost / (l.task*perHost + hostBytes(longest))
+	return max(b.bytesLeft, 0) * perHost / (b.bytesPerTask*perHost + hostBytes(longest))
 }
 
 // take books a task on a host, if there is room for it.
-func (l *ledger) take(host string) bool {
-	need := l.task
-	if l.onHost[host] == 0 {
+func (b *sizeBudget) take(host string) bool {
+	need := b.bytesPerTask
+	if b.tasksByHost[host] == 0 {
 		need += hostBytes(host)
 	}
-	if need > l.left {
+	if need > b.bytesLeft {
 		return false
 	}
-	l.left -= need
-	l.onHost[host]++
+	b.bytesLeft -= need
+	b.tasksByHost[host]++
 	return true
 }
 
 // longestName is the longest name of the part's machines.
-func (p *part) longestName() string {
+func (s *Shard) longestName() string {
 	longest := "host-000000"
-	for _, h := range p.order {
-		if len(h.name) > len(longest) {
-			longest = h.name
+	for _, host := range s.hostsByName {
+		if len(host.name) > len(longest) {
+			longest = host.name
 		}
 	}
 	return longest
 }
 
-// perHost is how many tasks of a job a machine of its usual type holds. A gang counts
+// tasksPerUsualMachine is how many tasks of a job a machine of its usual type holds. A gang counts
 // with one, since it is placed whole or not at all.
-func (c *Core) perHost(j *job) int {
-	if typ := c.usualType(j); typ >= 0 && !j.spec.Gang {
-		return c.holds(typ, j.spec.Need)
+func (c *Core) tasksPerUsualMachine(job *Job) int {
+	if typ := c.usualType(job); typ >= 0 && !job.spec.Gang {
+		return c.tasksPerMachine(typ, job.spec.Need)
 	}
 	return 1
 }
 
-// placedAtOnce is how many tasks of a new job may be placed at a time in a part.
-func (c *Core) placedAtOnce(j *job) int {
-	s := &slice{job: j, waiting: ranges{{0, j.spec.Tasks}}}
-	return c.ledgerOf(s).most(c.perHost(j), "host-000000")
+// maxPlacedAtOnce is how many tasks of a new job may be placed at a time in a part.
+func (c *Core) maxPlacedAtOnce(job *Job) int {
+	assignment := &Assignment{job: job, waiting: taskRanges{{0, job.spec.Tasks}}}
+	return c.sizeBudgetOf(assignment).maxTasks(c.tasksPerUsualMachine(job), "host-000000")
 }
 
-// holdsMoved says whether a slice that others' tasks moved into stays within the limit,
+// fitsAfterMove says whether a slice that others' tasks moved into stays within the limit,
 // with room for one of them to be placed whatever else becomes of it.
-func (c *Core) holdsMoved(j *job, v *sliceValue) bool {
+func (c *Core) fitsAfterMove(job *Job, v *assignmentRecord) bool {
 	onHost := map[string]int{"host-000000": 1}
 	for _, t := range v.Placed {
 		onHost[t.Host]++
 	}
-	return c.bytesLeft(j, v.Next, len(v.Waiting)+len(v.Done), onHost) >= 0
+	return c.remainingValueBytes(job, v.LastAttempt, len(v.Waiting)+len(v.Done), onHost) >= 0
 }
--- a/internal/fake/cancel_troubles.go
+++ b/internal/fake/cancel_troubles.go
@@ -24,13 +24,13 @@
 	delete(w.cuts, [2]string{b, a})
 }
 
-// StopAt has the job's user cancel it at one controller, repeated until it is
+// CancelAt has the job's user cancel it at one controller, repeated until it is
 // confirmed; told, if any, is called then.
-func (w *World) StopAt(n *Node, job *Job, told func()) {
-	job.AskedStop = true
-	w.user(n, job.Spec.ID, func(req uint64) any { return core.Withdraw{Req: req, ID: job.Spec.ID} }, func(status int) {
+func (w *World) CancelAt(node *Node, job *Job, told func()) {
+	job.CancelRequested = true
+	w.user(node, job.Spec.ID, func(req uint64) any { return core.JobCancellation{RequestID: req, ID: job.Spec.ID} }, func(status int) {
 		if status != 200 {
-			w.After(time.Second, func() { w.StopAt(n, job, told) })
+			w.After(time.Second, func() { w.CancelAt(node, job, told) })
 		} else if told != nil {
 			told()
 		}
--- a/internal/fake/consolidation_test.go
+++ b/internal/fake/consolidation_test.go
@@ -15,7 +15,7 @@
 }
 
 func TestReplicasLeaveMachinesThatHoldFew(t *testing.T) {
-	w := cardDay(t, 920, 20*time.Second, 60)
+	w := gpuDay(t, 920, 20*time.Second, 60)
 	var services []*Job
 	for i := range 96 {
 		services = append(services, w.Submit(liveService(fmt.Sprintf("job-%02d", i), 2), 0))
@@ -32,7 +32,7 @@
 	w.Run(40 * time.Second)
 	for i, j := range services {
 		if i%4 != 0 {
-			w.Stop(j)
+			w.Cancel(j)
 		}
 	}
 	before := rentedOrdinary(w, "")
@@ -61,7 +61,7 @@
 }
 
 func TestServicesUseAllZones(t *testing.T) {
-	w := cardDay(t, 921, 60*time.Second, 60)
+	w := gpuDay(t, 921, 60*time.Second, 60)
 	for i := range 24 {
 		w.Submit(liveService(fmt.Sprintf("job-%02d", i), 8), 0)
 		w.Run(300 * time.Millisecond)
@@ -73,7 +73,7 @@
 }
 
 func TestZonesAreAskedForCheapMachinesAlike(t *testing.T) {
-	w := cardDay(t, 922, 60*time.Second, 60)
+	w := gpuDay(t, 922, 60*time.Second, 60)
 	for i := range 40 {
 		w.Submit(sweep(fmt.Sprintf("job-%02d", i), 30, 100), 100*time.Second)
 	}
@@ -101,7 +101,7 @@
 }
 
 func TestReplicasThatKeepComingFindRoom(t *testing.T) {
-	w := cardDay(t, 923, 60*time.Second, 100)
+	w := gpuDay(t, 923, 60*time.Second, 100)
 	const pause = 4 * time.Second
 	submit := func(i int) *Job { return w.Submit(liveService(fmt.Sprintf("job-%03d", i), 8), 0) }
 	lateOnes(w, submit, 30, 30, pause)
@@ -111,7 +111,7 @@
 }
 
 func TestArraysThatKeepComingFindCheapRoom(t *testing.T) {
-	w := cardDay(t, 924, 60*time.Second, 400)
+	w := gpuDay(t, 924, 60*time.Second, 400)
 	const pause = 2 * time.Second
 	submit := func(i int) *Job { return w.Submit(sweep(fmt.Sprintf("job-%03d", i), 16, 600), 600*time.Second) }
 	lateOnes(w, submit, 50, 50, pause)
--- a/internal/fake/digest_test.go
+++ b/internal/fake/digest_test.go
@@ -35,17 +35,17 @@
 // core logs and measures does not count and has no tag.
 func effectTag(t *testing.T, effect any) string {
 	switch e := effect.(type) {
-	case core.Note, core.Observed:
+	case core.LogEvent, core.Observation:
 		return ""
 	case core.Call:
-		return "call " + operationTag(t, e.Op)
-	case core.Reply:
+		return "call " + operationTag(t, e.Operation)
+	case core.UserReply:
 		return "user"
-	case core.BeatReply:
+	case core.HeartbeatReply:
 		return "worker"
-	case core.Tell:
+	case core.SendToPeer:
 		return "peer"
-	case core.Share:
+	case core.BudgetShare:
 		return "share"
 	}
 	require.Failf(t, "unknown effect", "%T", effect)
@@ -55,29 +55,29 @@
 // operationTag does the same for calls to the outside.
 func operationTag(t *testing.T, operation any) string {
 	switch operation.(type) {
-	case core.CommitOp:
+	case core.CommitTxn:
 		return "commit"
-	case core.ReadOp:
+	case core.ReadKey:
 		return "read"
-	case core.ListOp:
+	case core.ListKeys:
 		return "list"
-	case core.FollowOp:
+	case core.WatchKeys:
 		return "watch"
-	case core.HoldOp:
+	case core.GrantLease:
 		return "grant lease"
-	case core.RenewOp:
+	case core.RenewLease:
 		return "renew lease"
-	case core.CatalogOp:
+	case core.ReadCatalog:
 		return "catalog"
-	case core.HostsOp:
+	case core.ListHosts:
 		return "hosts"
-	case core.HireOp:
+	case core.RentHosts:
 		return "rent"
-	case core.ReturnOp:
+	case core.ReturnHosts:
 		return "return"
-	case core.OrdersOp:
+	case core.SendCommands:
 		return "commands"
-	case core.ShowOp:
+	case core.ReadWorkerStatus:
 		return "show"
 	}
 	require.Failf(t, "unknown operation", "%T", operation)
@@ -142,12 +142,12 @@
 	t.Helper()
 	w := s.build()
 	sum := sha256.New()
-	w.OnEffect = func(n *Node, effect any) {
+	w.OnEffect = func(node *Node, effect any) {
 		tag := effectTag(t, effect)
 		if tag == "" {
 			return
 		}
-		fmt.Fprintf(sum, "%d %s %s ", w.Now, n.Name, tag)
+		fmt.Fprintf(sum, "%d %s %s ", w.Now, node.Name, tag)
 		writeValue(sum, reflect.ValueOf(effect))
 		fmt.Fprintln(sum)
 	}
@@ -196,15 +196,15 @@
 	for i := range digestDays {
 		day := RandomDay(uint64(digestFirst + i))
 		for _, request := range day.Jobs {
-			for what, is := range map[string]bool{"service": request.Spec.Service, "gang": request.Spec.Gang, "GPU": request.Spec.Need.Cards > 0,
-				"cancellation": request.Cancel > 0, "tasks that save": request.Spec.Checkpoint > 0, "one zone": request.Spec.OneZone, "apart": request.Spec.Apart} {
+			for what, is := range map[string]bool{"service": request.Spec.Service, "gang": request.Spec.Gang, "GPU": request.Spec.Need.GPUs > 0,
+				"cancellation": request.Cancel > 0, "tasks that save": request.Spec.CheckpointSeconds > 0, "one zone": request.Spec.OneZone, "apart": request.Spec.SpreadZones} {
 				if is {
 					counts[what]++
 				}
 			}
 		}
 		for _, strike := range day.Steps {
-			counts[strike.Trouble]++
+			counts[strike.Fault]++
 		}
 	}
 	for what, n := range least {
@@ -222,11 +222,11 @@
 		if !ok {
 			return
 		}
-		commit, ok := call.Op.(core.CommitOp)
+		commit, ok := call.Operation.(core.CommitTxn)
 		if !ok {
 			return
 		}
-		for _, change := range commit.Txn.Apply {
+		for _, change := range commit.Txn.Mutations {
 			if strings.HasPrefix(change.Key, "part/") && change.Value == nil {
 				handovers++
 			}
--- a/internal/fake/disk.go
+++ b/internal/fake/disk.go
@@ -44,10 +44,10 @@
 }
 
 // used is what the machine's tasks take of it, one of them left aside.
-func (k *Worker) used(but *running) core.Amount {
-	var sum core.Amount
+func (k *Worker) used(but *running) core.Resources {
+	var sum core.Resources
 	for _, x := range k.tasks {
-		if job := k.w.Jobs[x.id.Job]; x != but && x.state != core.Ended && job != nil {
+		if job := k.w.Jobs[x.id.Job]; x != but && x.state != core.TaskExited && job != nil {
 			sum = plus(sum, job.Spec.Need)
 		}
 	}
@@ -55,17 +55,17 @@
 }
 
 // holds says whether the machine has room for so much more, one task left aside.
-func (k *Worker) holds(need core.Amount, but *running) bool {
-	return within(plus(k.used(but), need), k.kind().Total)
+func (k *Worker) holds(need core.Resources, but *running) bool {
+	return within(plus(k.used(but), need), k.kind().Capacity)
 }
 
-func plus(a, b core.Amount) core.Amount {
-	return core.Amount{Cores: a.Cores + b.Cores, Cards: a.Cards + b.Cards, Mem: a.Mem + b.Mem}
+func plus(a, b core.Resources) core.Resources {
+	return core.Resources{Cores: a.Cores + b.Cores, GPUs: a.GPUs + b.GPUs, MemoryGB: a.MemoryGB + b.MemoryGB}
 }
 
-func within(a, total core.Amount) bool {
+func within(a, total core.Resources) bool {
 	const hair = 1e-6
-	return a.Cores <= total.Cores+hair && a.Cards <= total.Cards+hair && a.Mem <= total.Mem+hair
+	return a.Cores <= total.Cores+hair && a.GPUs <= total.GPUs+hair && a.MemoryGB <= total.MemoryGB+hair
 }
 
 // fetch runs start when the machine has the task's image.
@@ -106,7 +106,7 @@
 
 // rate is how many GB a second the machine fetches.
 func (k *Worker) rate() float64 {
-	if r := k.kind().GBPerS; r > 0 {
+	if r := k.kind().FetchGBPerSecond; r > 0 {
 		return r
 	}
 	return 0.5
@@ -178,7 +178,7 @@
 
 func (k *Worker) uses(image string) bool {
 	for _, t := range k.tasks {
-		if job := k.w.Jobs[t.id.Job]; t.state != core.Ended && job != nil && job.Spec.Image == image {
+		if job := k.w.Jobs[t.id.Job]; t.state != core.TaskExited && job != nil && job.Spec.Image == image {
 			return true
 		}
 	}
--- a/internal/fake/fleet_test.go
+++ b/internal/fake/fleet_test.go
@@ -16,13 +16,13 @@
 // with a controller each.
 func fleet(tb testing.TB, machines int) *World {
 	cfg := Settings()
-	cfg.Report, cfg.Lease, cfg.Cancel, cfg.ListLag = 6*time.Second, 36*time.Second, 66*time.Second, 6*time.Second
+	cfg.HeartbeatInterval, cfg.WorkerLease, cfg.CancelWithin, cfg.ListLag = 6*time.Second, 36*time.Second, 66*time.Second, 6*time.Second
 	for i := range cfg.Teams {
-		cfg.Teams[i].Guarantee, cfg.Teams[i].Limit = core.Amount{Cores: 1e6}, core.Amount{}
+		cfg.Teams[i].Guarantee, cfg.Teams[i].Limit = core.Resources{Cores: 1e6}, core.Resources{}
 	}
 	w := New(3, cfg)
-	w.Cloud.Types = []core.MachineType{{Name: "large", Total: core.Amount{Cores: 16, Mem: 64}, CacheGB: 50, GBPerS: 1,
-		Price: 1, SpotPrice: 0.4, BootS: 20, Zones: cfg.Zones}}
+	w.Cloud.Types = []core.MachineType{{Name: "large", Capacity: core.Resources{Cores: 16, MemoryGB: 64}, CacheGB: 50, FetchGBPerSecond: 1,
+		Price: 1, SpotPrice: 0.4, BootSeconds: 20, Zones: cfg.Zones}}
 	w.Cloud.BootS = func(string) float64 { return 20 }
 	w.Cloud.Room = map[string]int{}
 	for _, z := range cfg.Zones {
@@ -32,7 +32,7 @@
 	tasks, jobs := 4*machines, machines/100
 	for i := range jobs {
 		s := spec(fmt.Sprintf("job-%d", i), "red", tasks/jobs, 4)
-		s.Estimate, s.Image = 3600, fmt.Sprintf("img-%d", i%20)
+		s.EstimateSeconds, s.Image = 3600, fmt.Sprintf("img-%d", i%20)
 		w.Submit(s, time.Hour)
 	}
 	up := func() bool { return w.Referee.Starts >= tasks }
@@ -96,7 +96,7 @@
 	for _, zone := range w.Cfg.Zones {
 		require.NotNil(t, w.OwnerOf(zone), "zone %s has an owner", zone)
 	}
-	w.Run(w.Cfg.Lease + 10*time.Second)
+	w.Run(w.Cfg.WorkerLease + 10*time.Second)
 	assert.Equal(t, starts, w.Referee.Starts, "nothing was lost and started again")
 	assert.GreaterOrEqual(t, len(w.Alive()), alive-machines/100, "no machine that works was given back")
 	job := w.Submit(spec("job-new", "blue", 40, 2), 10*time.Second)
--- a/internal/fake/gpu_test.go
+++ b/internal/fake/gpu_test.go
@@ -11,16 +11,16 @@
 	"roadcleat/internal/core"
 )
 
-// cardDay is a world of machines with eight cards that boot and fetch slowly and report
+// gpuDay is a world of machines with eight cards that boot and fetch slowly and report
 // rarely. All controllers are in zone a; each zone has room for so many machines of each
 // kind.
-func cardDay(t *testing.T, seed uint64, boot time.Duration, room int) *World {
+func gpuDay(t *testing.T, seed uint64, boot time.Duration, room int) *World {
 	cfg := Settings()
-	cfg.Teams = []core.Team{{Name: "flow", Guarantee: core.Amount{Cards: 600}, Limit: core.Amount{Cards: 2000}}}
-	cfg.Report, cfg.Lease, cfg.Cancel = 8*time.Second, 38*time.Second, 58*time.Second
+	cfg.Teams = []core.Team{{Name: "flow", Guarantee: core.Resources{GPUs: 600}, Limit: core.Resources{GPUs: 2000}}}
+	cfg.HeartbeatInterval, cfg.WorkerLease, cfg.CancelWithin = 8*time.Second, 38*time.Second, 58*time.Second
 	w := NewWith(seed, cfg, "a", "a", "a")
-	w.Cloud.Types = []core.MachineType{{Name: "cards", Total: core.Amount{Cores: 96, Cards: 8, Mem: 768}, CacheGB: 120,
-		GBPerS: 0.5, Price: 27, SpotPrice: 6.5, BootS: boot.Seconds(), Zones: cfg.Zones}}
+	w.Cloud.Types = []core.MachineType{{Name: "cards", Capacity: core.Resources{Cores: 96, GPUs: 8, MemoryGB: 768}, CacheGB: 120,
+		FetchGBPerSecond: 0.5, Price: 27, SpotPrice: 6.5, BootSeconds: boot.Seconds(), Zones: cfg.Zones}}
 	w.Cloud.BootS = func(string) float64 { return boot.Seconds() }
 	for _, z := range cfg.Zones {
 		w.Cloud.Room[roomKey("cards", z, true)], w.Cloud.Room[roomKey("cards", z, false)] = room, room
@@ -34,26 +34,26 @@
 }
 
 // sweep is an array of tasks with a card each.
-func sweep(id string, tasks int, estimate float64) core.Spec {
-	return core.Spec{ID: id, Class: "sweep", Team: "flow", Priority: 2, Tasks: tasks, Need: core.Amount{Cores: 10, Cards: 1, Mem: 72},
-		Spot: true, Image: "img", ImageGB: 1, Estimate: estimate}
+func sweep(id string, tasks int, estimate float64) core.JobSpec {
+	return core.JobSpec{ID: id, Class: "sweep", Team: "flow", Priority: 2, Tasks: tasks, Need: core.Resources{Cores: 10, GPUs: 1, MemoryGB: 72},
+		Spot: true, Image: "img", ImageGB: 1, EstimateSeconds: estimate}
 }
 
 // liveService is replicas with a card each that must be apart, on ordinary machines.
-func liveService(id string, tasks int) core.Spec {
-	return core.Spec{ID: id, Class: "live", Team: "flow", Priority: 0, Service: true, Tasks: tasks, Need: core.Amount{Cores: 8, Cards: 1, Mem: 58},
-		Apart: true, Image: "svc", ImageGB: 1}
+func liveService(id string, tasks int) core.JobSpec {
+	return core.JobSpec{ID: id, Class: "live", Team: "flow", Priority: 0, Service: true, Tasks: tasks, Need: core.Resources{Cores: 8, GPUs: 1, MemoryGB: 58},
+		SpreadZones: true, Image: "svc", ImageGB: 1}
 }
 
 func moves(w *World) (n uint64) {
 	for _, node := range w.Nodes {
-		n += node.Core.Stats().Moves
+		n += node.Core.Stats().Rebalanced
 	}
 	return n
 }
 
 func TestAPartWhoseMachinesAllBootIsNotDark(t *testing.T) {
-	w := cardDay(t, 901, 60*time.Second, 20)
+	w := gpuDay(t, 901, 60*time.Second, 20)
 	for i := range 9 {
 		w.Submit(sweep(fmt.Sprintf("job-%d", i), 24, 30), 30*time.Second)
 		w.Run(time.Second)
@@ -66,9 +66,9 @@
 }
 
 func TestACrowdsMachinesAreAskedForAtOnce(t *testing.T) {
-	w := cardDay(t, 902, 60*time.Second, 40)
+	w := gpuDay(t, 902, 60*time.Second, 40)
 	requests := 0
-	w.Cloud.LateHire = func(core.HireOp) time.Duration {
+	w.Cloud.LateRental = func(core.RentHosts) time.Duration {
 		requests++
 		return 0
 	}
@@ -83,7 +83,7 @@
 }
 
 func TestServicesThatWaitAreNoQueue(t *testing.T) {
-	w := cardDay(t, 903, 60*time.Second, 60)
+	w := gpuDay(t, 903, 60*time.Second, 60)
 	var jobs []*Job
 	for i := range 30 {
 		jobs = append(jobs, w.Submit(liveService(fmt.Sprintf("job-s%d", i), 4), 0))
@@ -102,7 +102,7 @@
 }
 
 func TestWorkGoesToCheapMachinesThatAreYetToBoot(t *testing.T) {
-	w := cardDay(t, 904, 60*time.Second, 80)
+	w := gpuDay(t, 904, 60*time.Second, 80)
 	w.Cloud.Room[roomKey("cards", "a", true)] = 4
 	w.Cloud.Room[roomKey("cards", "b", true)] = 4
 	var jobs []*Job
@@ -117,7 +117,7 @@
 }
 
 func TestAPoorEstimateOfOneJobGivesNoMachineUp(t *testing.T) {
-	w := cardDay(t, 905, 8*time.Second, 3)
+	w := gpuDay(t, 905, 8*time.Second, 3)
 	good := w.Submit(sweep("job-1", 24, 10), 10*time.Second)
 	ends(t, w, good, 90*time.Second)
 	poor := w.Submit(sweep("job-2", 6, 2), 20*time.Second)
@@ -131,7 +131,7 @@
 }
 
 func TestReplicasTakeTheRoomOfArrays(t *testing.T) {
-	w := cardDay(t, 906, 60*time.Second, 0)
+	w := gpuDay(t, 906, 60*time.Second, 0)
 	for _, z := range w.Cfg.Zones {
 		w.Cloud.Room[roomKey("cards", z, false)] = 2
 	}
@@ -159,7 +159,7 @@
 }
 
 func TestMachinesWithoutACardLeftAreFull(t *testing.T) {
-	w := cardDay(t, 907, 10*time.Second, 20)
+	w := gpuDay(t, 907, 10*time.Second, 20)
 	array := sweep("job-1", 64, 200)
 	array.Zone = "a"
 	w.Submit(array, 200*time.Second)
@@ -170,7 +170,7 @@
 }
 
 func TestReplicasFindOrdinaryRoomReady(t *testing.T) {
-	w := cardDay(t, 908, 60*time.Second, 60)
+	w := gpuDay(t, 908, 60*time.Second, 60)
 	w.Submit(liveService("job-1", 80), 0)
 	require.True(t, w.Until(150*time.Second, started(w, "job-1", 80)))
 	w.Run(90 * time.Second)
@@ -180,7 +180,7 @@
 }
 
 func TestANewOwnerGivesMachinesBackThatAreNoLongerListed(t *testing.T) {
-	w := cardDay(t, 909, 8*time.Second, 6)
+	w := gpuDay(t, 909, 8*time.Second, 6)
 	array := sweep("job-1", 8, 300)
 	array.Zone = "b"
 	w.Submit(array, 300*time.Second)
--- a/internal/fake/leader_changes_test.go
+++ b/internal/fake/leader_changes_test.go
@@ -17,16 +17,16 @@
 // launched counts the launches of each task that were sent, in whatever way.
 func launched(w *World) map[core.TaskID]int {
 	n := map[core.TaskID]int{}
-	w.Held = func(_ *Worker, what any) time.Duration {
-		var orders []core.Order
+	w.DelayOnWire = func(_ *Worker, what any) time.Duration {
+		var orders []core.Command
 		switch m := what.(type) {
-		case core.OrdersOp:
-			orders = m.Orders
-		case core.BeatReply:
-			orders = m.Orders
+		case core.SendCommands:
+			orders = m.Commands
+		case core.HeartbeatReply:
+			orders = m.Commands
 		}
 		for _, o := range orders {
-			if o.Verb == core.Launch {
+			if o.Verb == core.VerbLaunch {
 				n[o.Task]++
 			}
 		}
@@ -53,7 +53,7 @@
 		require.NotContains(t, v, `"d":`, "the end is not written down")
 		w.Nodes[0].Restart([]time.Duration{5 * time.Second, 20 * time.Second}[min(len(zones)-1, 1)])
 		ends(t, w, job, 90*time.Second)
-		assert.Equal(t, core.Complete, job.Told)
+		assert.Equal(t, core.JobDone, job.Told)
 		assert.Equal(t, 3, job.Starts)
 		assert.Len(t, n, 3)
 		for id, n := range n {
@@ -67,29 +67,29 @@
 	// next leader has acted, tell of tasks that are no more, and of none yet.
 	for _, zones := range [][]string{{"a"}, {"a", "b", "c"}} {
 		w := idleMachines(t, 111, 4, zones...)
-		early := map[*Worker]core.Report{} // of before the job
+		early := map[*Worker]core.WorkerStatus{} // of before the job
 		for _, k := range alive(w, "a") {
-			early[k] = k.report()
+			early[k] = k.status()
 		}
 		job := w.Submit(plain("job-1", 4), 25*time.Second)
 		require.True(t, w.Until(10*time.Second, started(w, "job-1", 4)))
-		running := map[*Worker]core.Report{}
+		running := map[*Worker]core.WorkerStatus{}
 		for k := range w.On("job-1") {
-			running[k] = k.report()
+			running[k] = k.status()
 		}
 		for _, n := range w.Nodes {
-			n.Restart(w.Cfg.Lease + 6*time.Second)
+			n.Restart(w.Cfg.WorkerLease + 6*time.Second)
 		}
-		w.Run(w.Cfg.Lease + 5*time.Second)
+		w.Run(w.Cfg.WorkerLease + 5*time.Second)
 		require.Empty(t, w.On("job-1"), "their leases ran out")
 		w.OnClaim(func(string, string) {
-			for d, reports := range map[time.Duration]map[*Worker]core.Report{
+			for d, reports := range map[time.Duration]map[*Worker]core.WorkerStatus{
 				100 * time.Millisecond: early, 3 * time.Second: running, 8 * time.Second: early, 9 * time.Second: running} {
-				for _, k := range alive(w, "a") {
-					if rep, ok := reports[k]; ok {
+				for _, worker := range alive(w, "a") {
+					if status, ok := reports[worker]; ok {
 						w.After(d, func() {
 							for _, n := range w.Nodes {
-								n.hears(rep)
+								n.receiveHeartbeat(status)
 							}
 						})
 					}
@@ -114,11 +114,11 @@
 		job := w.Submit(plain("job-1", 1), 20*time.Second)
 		require.True(t, w.Until(10*time.Second, func() bool { return at() != nil }), "a launch is held up")
 		node.Restart(100 * time.Millisecond)
-		for _, k := range append([]*Worker{at()}, sortedOn(w, "job-2")...) {
+		for _, worker := range append([]*Worker{at()}, sortedOn(w, "job-2")...) {
 			if reached == "not at all" {
-				w.Cut(node.Name, k.name, 9*time.Second, false)
+				w.Cut(node.Name, worker.name, 9*time.Second, false)
 			} else {
-				w.Deafen(k, 9*time.Second)
+				w.CutInbound(worker, 9*time.Second)
 			}
 		}
 		require.True(t, w.Until(8*time.Second, started(w, "job-1", 1)), "the former leader's launch arrives")
@@ -170,8 +170,8 @@
 			}
 			return n%2 == 1, 4 * time.Second
 		}
-		w.Store.Carried = append(w.Store.Carried, func(node string, txn core.Txn, res core.CommitResult) {
-			if after && ended == "" && placesAny(txn) && res.Outcome == core.OK {
+		w.Store.OnExecuted = append(w.Store.OnExecuted, func(node string, txn core.Txn, res core.CommitResult) {
+			if after && ended == "" && placesAny(txn) && res.Outcome == core.OutcomeOK {
 				end(node)
 			}
 		})
@@ -183,8 +183,8 @@
 		}
 		require.True(t, w.Until(20*time.Second, func() bool { return ended != "" }), "the leader ended")
 		up := 0
-		for _, k := range w.Workers {
-			if k.started {
+		for _, worker := range w.Workers {
+			if worker.started {
 				up++
 			}
 		}
@@ -199,7 +199,7 @@
 
 // placesAny says whether a transaction gives any task a machine.
 func placesAny(x core.Txn) bool {
-	return slices.ContainsFunc(x.Apply, places)
+	return slices.ContainsFunc(x.Mutations, places)
 }
 
 func TestLeadersChangeTenTimesInTwoMinutes(t *testing.T) {
@@ -211,24 +211,24 @@
 		w := idleMachines(t, 116, 6, "a", "b", "c")
 		claims, held, last := 0, 0, ""
 		late := map[*Worker]bool{}
-		w.Held = func(k *Worker, what any) time.Duration {
-			if last == "" || !launches(what, last) {
+		w.DelayOnWire = func(worker *Worker, what any) time.Duration {
+			if last == "" || !isLaunchOf(what, last) {
 				return 0
 			}
 			held++
-			late[k], k.nextAt = true, w.Now+3*time.Second
+			late[worker], worker.nextAt = true, w.Now+3*time.Second
 			return 7 * time.Second
 		}
-		var kept []core.Report
+		var kept []core.WorkerStatus
 		w.OnClaim(func(_, zone string) {
 			if zone != "a" {
 				return
 			}
 			claims++
-			for i, rep := range kept {
+			for i, status := range kept {
 				w.After(time.Duration(20+20*i)*time.Millisecond, func() {
 					for _, n := range w.Nodes {
-						n.hears(rep)
+						n.receiveHeartbeat(status)
 					}
 				})
 			}
@@ -247,7 +247,7 @@
 				w.Store.Outage(7 * time.Second)
 			}
 			for _, k := range alive(w, "a") {
-				kept = append(kept, k.report())
+				kept = append(kept, k.status())
 			}
 			lead := leaderOf(w, "a")
 			if lead == nil {
@@ -259,9 +259,9 @@
 			jobs = append(jobs, w.Submit(s, 9*time.Second))
 			w.Run(time.Second)
 			last = ""
-			for _, k := range alive(w, "a") {
-				if late[k] {
-					w.Deafen(k, 7*time.Second)
+			for _, worker := range alive(w, "a") {
+				if late[worker] {
+					w.CutInbound(worker, 7*time.Second)
 				}
 			}
 			clear(late)
@@ -289,24 +289,24 @@
 	w := idleMachines(t, 121, 6, "a", "b", "c")
 	w.Nodes[0].Restart(7 * time.Second)
 	inFlight, met := map[*Worker]time.Duration{}, 0
-	w.Held = func(k *Worker, what any) time.Duration {
-		if op, ok := what.(core.OrdersOp); ok && len(op.Orders) > 0 && op.Orders[0].Verb == core.Launch && met == 0 {
-			inFlight[k], k.nextAt = w.Now+5*time.Second, w.Now+3*time.Second
+	w.DelayOnWire = func(worker *Worker, what any) time.Duration {
+		if op, ok := what.(core.SendCommands); ok && len(op.Commands) > 0 && op.Commands[0].Verb == core.VerbLaunch && met == 0 {
+			inFlight[worker], worker.nextAt = w.Now+5*time.Second, w.Now+3*time.Second
 			return 5 * time.Second
 		}
 		return 0
 	}
-	w.Store.Carried = append(w.Store.Carried, func(node string, txn core.Txn, _ core.CommitResult) {
-		if met > 0 || node == "node-0" || !changes(txn, "part/a") || txn.Apply[0].Value != nil {
+	w.Store.OnExecuted = append(w.Store.OnExecuted, func(node string, txn core.Txn, _ core.CommitResult) {
+		if met > 0 || node == "node-0" || !changes(txn, "part/a") || txn.Mutations[0].Value != nil {
 			return
 		}
 		for i, n := range w.Nodes {
 			n.Restart([]time.Duration{8 * time.Second, 300 * time.Millisecond, 9 * time.Second}[i])
 		}
-		for _, k := range alive(w, "a") {
-			if w.Now < inFlight[k] {
+		for _, worker := range alive(w, "a") {
+			if w.Now < inFlight[worker] {
 				met++
-				w.Deafen(k, 6*time.Second)
+				w.CutInbound(worker, 6*time.Second)
 			}
 		}
 	})
--- a/internal/fake/left_test.go
+++ b/internal/fake/left_test.go
@@ -12,7 +12,7 @@
 
 func TestRoomThatUrgentWorkCannotUseIsNotLeftToItForEver(t *testing.T) {
 	cfg := Settings()
-	cfg.Teams[1] = core.Team{Name: "blue", Guarantee: core.Amount{Cores: 4}, Limit: core.Amount{Cores: 8}}
+	cfg.Teams[1] = core.Team{Name: "blue", Guarantee: core.Resources{Cores: 4}, Limit: core.Resources{Cores: 8}}
 	w := New(71, cfg)
 	t.Cleanup(func() { assert.Empty(t, w.Referee.Broken, "rules") })
 	w.Run(3 * time.Second)
@@ -65,7 +65,7 @@
 		ends(t, w, w.Submit(s, time.Second), time.Minute)
 	}
 	s := spec("job-1", "red", 2, 3)
-	s.Service, s.Estimate = true, 0
+	s.Service, s.EstimateSeconds = true, 0
 	service := w.Submit(s, time.Hour)
 	require.True(t, w.Until(time.Minute, started(w, "job-1", 2)))
 	lost := 0
@@ -75,10 +75,10 @@
 		}
 		return lost == 1 && changes(txn, "slice/a/job-1"), 0 // carried out all the same
 	}
-	for _, k := range w.Alive() {
-		if k.zone == "b" {
-			k.Die()
-			k.deleted = true // the cloud has no other for it
+	for _, worker := range w.Alive() {
+		if worker.zone == "b" {
+			worker.Die()
+			worker.deleted = true // the cloud has no other for it
 		}
 	}
 	w.Cloud.Room[roomKey("small", "b", true)], w.Cloud.Room[roomKey("large", "a", true)] = 0, 1
@@ -87,6 +87,6 @@
 	w.Submit(more, 5*time.Minute)
 	require.True(t, w.Until(2*time.Minute, func() bool { return lost > 0 }), "the replica moves, and the answer to that is lost")
 	assert.True(t, w.Until(time.Minute, started(w, "job-1", 2)), "its owner finds it all the same")
-	w.Stop(service)
+	w.Cancel(service)
 	ends(t, w, service, time.Minute)
 }
--- a/internal/fake/lost_machines_test.go
+++ b/internal/fake/lost_machines_test.go
@@ -17,14 +17,14 @@
 func TestWorkBoundToPlacesStaysThereWhenItsMachinesAreLost(t *testing.T) {
 	// A zone loses its machines and has no others for a while; the other zones have
 	// plenty. What is bound waits, what is not goes there.
-	bound := map[string]func(*core.Spec){
-		"zone":     func(s *core.Spec) { s.Zone = "a" },
-		"array":    func(s *core.Spec) { s.Zone, s.Tasks = "a", 7 },
-		"one zone": func(s *core.Spec) { s.OneZone = true },
-		"apart":    func(s *core.Spec) { s.Apart = true },
-		"gang":     func(s *core.Spec) { s.Gang = true },
-		"service":  func(s *core.Spec) { s.Zone, s.Service = "a", true },
-		"free":     func(*core.Spec) {},
+	bound := map[string]func(*core.JobSpec){
+		"zone":     func(s *core.JobSpec) { s.Zone = "a" },
+		"array":    func(s *core.JobSpec) { s.Zone, s.Tasks = "a", 7 },
+		"one zone": func(s *core.JobSpec) { s.OneZone = true },
+		"apart":    func(s *core.JobSpec) { s.SpreadZones = true },
+		"gang":     func(s *core.JobSpec) { s.Gang = true },
+		"service":  func(s *core.JobSpec) { s.Zone, s.Service = "a", true },
+		"free":     func(*core.JobSpec) {},
 	}
 	for _, name := range slices.Sorted(maps.Keys(bound)) {
 		t.Run(name, func(t *testing.T) {
@@ -46,9 +46,9 @@
 			}
 			kept := anyOn(w, "job-1") // where the others must be, if all must be in one zone
 			require.Equal(t, "a", kept.zone)
-			for _, k := range alive(w, "a") {
-				if !s.OneZone || k != kept {
-					k.Die()
+			for _, worker := range alive(w, "a") {
+				if !s.OneZone || worker != kept {
+					worker.Die()
 				}
 			}
 			w.Run(5 * time.Second)
@@ -57,7 +57,7 @@
 			w.Cloud.Room = room
 			if s.Service {
 				assert.True(t, w.Until(time.Minute, started(w, "job-1", 3)), "all replicas are back")
-				w.Stop(job)
+				w.Cancel(job)
 			}
 			ends(t, w, job, 4*time.Minute)
 		})
@@ -76,9 +76,9 @@
 	for _, other := range []string{"state", "cloud", "users", "node-1", "node-2"} {
 		w.Cut("node-0", other, long, true)
 	}
-	for _, k := range alive(w, "a") {
-		w.Cut("node-1", k.name, long, true)
-		w.Cut("node-2", k.name, long, true)
+	for _, worker := range alive(w, "a") {
+		w.Cut("node-1", worker.name, long, true)
+		w.Cut("node-2", worker.name, long, true)
 	}
 	taken := false
 	w.OnClaim(func(node, zone string) { taken = taken || zone == "a" && node != "node-0" })
@@ -92,7 +92,7 @@
 	// Its lease runs out although it is told, and answers, all the time. Work that a
 	// command starts in the session after has a lease of its own.
 	w := idleMachines(t, 113, 1, "a")
-	large := func(id string, tasks int) core.Spec {
+	large := func(id string, tasks int) core.JobSpec {
 		s := plain(id, tasks)
 		s.Types = []string{"large"}
 		return s
@@ -102,17 +102,17 @@
 	ends(t, w, w.Submit(large("job-98", 4), 2*time.Second), time.Minute)
 	long := w.Submit(large("job-1", 2), 80*time.Second)
 	require.True(t, w.Until(10*time.Second, started(w, "job-1", 2)))
-	k, told := anyOn(w, "job-1"), map[uint64]int{}
-	w.Held = func(to *Worker, what any) time.Duration {
-		if _, order := what.(core.OrdersOp); order && to == k && w.Now < k.muteUntil {
-			told[k.session]++
+	worker, told := anyOn(w, "job-1"), map[uint64]int{}
+	w.DelayOnWire = func(to *Worker, what any) time.Duration {
+		if _, order := what.(core.SendCommands); order && to == worker && w.Now < worker.outboundCutUntil {
+			told[worker.incarnation]++
 		}
 		return 0
 	}
-	w.Mute(k, 4*w.Cfg.Lease)
+	w.CutOutbound(worker, 4*w.Cfg.WorkerLease)
 	var short []*Job
 	for i := range 40 {
-		if k.session > 1 { // now there are others to be had, at once
+		if worker.incarnation > 1 { // now there are others to be had, at once
 			w.Cloud.Room, w.Cloud.BootS = room, func(string) float64 { return 0.2 }
 		}
 		s := large(fmt.Sprintf("job-2%d", i), 1)
@@ -140,23 +140,23 @@
 		t.Run(c.name, func(t *testing.T) {
 			w := idleMachines(t, 114, 4, "a")
 			hit := map[string]*Worker{}
-			w.Held = func(k *Worker, what any) time.Duration {
+			w.DelayOnWire = func(worker *Worker, what any) time.Duration {
 				switch m := what.(type) {
-				case core.OrdersOp:
-					if len(m.Orders) == 0 {
+				case core.SendCommands:
+					if len(m.Commands) == 0 {
 						return 0
 					}
-					o := m.Orders[0]
+					o := m.Commands[0]
 					id := fmt.Sprint(o.Task.Job, o.Verb)
-					if hit[id] == nil && (launches(m, "job-1") || o.Verb == core.Halt) {
-						hit[id] = k
+					if hit[id] == nil && (isLaunchOf(m, "job-1") || o.Verb == core.VerbStop) {
+						hit[id] = worker
 						if c.hangs {
-							k.Hang(k.leaseFrom + w.Cfg.Lease + c.past - w.Now)
+							worker.Hang(worker.leaseFrom + w.Cfg.WorkerLease + c.past - w.Now)
 						}
 					}
 				case core.WorkerResult:
 					for _, h := range hit {
-						if h == k && m.Report.Token > 0 && len(m.Report.Tasks) > 0 {
+						if h == worker && m.Status.Token > 0 && len(m.Status.Tasks) > 0 {
 							return c.answer
 						}
 					}
@@ -167,10 +167,10 @@
 			halted := w.Submit(plain("job-2", 2), 5*time.Minute)
 			require.True(t, w.Until(10*time.Second, started(w, "job-2", 2)))
 			w.Run(2 * time.Second)
-			w.Stop(halted)
+			w.Cancel(halted)
 			ends(t, w, halted, 10*time.Second)
 			ends(t, w, launch, 90*time.Second)
-			w.Run(halted.Cancelled + w.Cfg.Cancel - w.Now)
+			w.Run(halted.Cancelled + w.Cfg.CancelWithin - w.Now)
 			assert.Empty(t, w.On("job-2"))
 			assert.Len(t, hit, 2, "a launch and a halt met it")
 		})
@@ -182,7 +182,7 @@
 	// saves fills all machines there are; then others keep coming, urgent and not. The
 	// referee sees what is left waiting beside free room.
 	cfg := Settings()
-	cfg.Teams[0].Limit, cfg.Teams[1].Limit = core.Amount{Cores: 400}, core.Amount{Cores: 400}
+	cfg.Teams[0].Limit, cfg.Teams[1].Limit = core.Resources{Cores: 400}, core.Resources{Cores: 400}
 	w := New(119, cfg)
 	t.Cleanup(func() { assert.Empty(t, w.Referee.Broken, "rules") })
 	for k := range w.Cloud.Room {
@@ -191,15 +191,15 @@
 	w.Lag = 250 * time.Millisecond
 	w.Run(4 * time.Second)
 	low := spec("job-1", "red", 60, 4)
-	low.Priority, low.Checkpoint, low.Save, low.Class = 3, 5, 1, "filler"
+	low.Priority, low.CheckpointSeconds, low.SaveSeconds, low.Class = 3, 5, 1, "filler"
 	jobs := []*Job{w.Submit(low, 40*time.Second)}
 	require.True(t, w.Until(time.Minute, started(w, "job-1", 20)))
 	room := func() (free float64) {
-		for _, k := range w.Workers {
-			if k.fit() {
-				free += k.kind().Total.Cores
-				for id, r := range k.tasks {
-					if r.state != core.Ended {
+		for _, worker := range w.Workers {
+			if worker.fit() {
+				free += worker.kind().Capacity.Cores
+				for id, r := range worker.tasks {
+					if r.state != core.TaskExited {
 						free -= w.Jobs[id.Job].Spec.Need.Cores
 					}
 				}
--- a/internal/fake/many_jobs_test.go
+++ b/internal/fake/many_jobs_test.go
@@ -57,7 +57,7 @@
 	}
 	ends(t, w, w.Submit(spec("job-0", "red", 1, 1), time.Second), time.Minute) // names are known
 	require.True(t, w.Until(2*time.Minute, allGone(w)))
-	w.Run(w.Cfg.Cancel + 20*time.Second)
+	w.Run(w.Cfg.CancelWithin + 20*time.Second)
 	var before []map[string]int
 	for _, n := range w.Nodes {
 		before = append(before, tables(n.Core))
@@ -71,44 +71,44 @@
 		job := w.Submit(s, time.Duration(2+i%5)*time.Second)
 		jobs = append(jobs, job)
 		if i%4 == 3 {
-			w.After(time.Duration(i%11)*300*time.Millisecond, func() { w.Stop(job) })
+			w.After(time.Duration(i%11)*300*time.Millisecond, func() { w.Cancel(job) })
 		}
 		w.Run(each)
 		for _, j := range jobs[max(0, i-60):] {
 			require.True(t, j.Accepted || w.Now < j.Came+5*time.Second, "%s is taken soon", j.Spec.ID)
 		}
 		if i%40 == 39 {
-			for _, n := range w.Nodes {
-				for path, k := range tables(n.Core) {
+			for _, node := range w.Nodes {
+				for path, k := range tables(node.Core) {
 					if w.Now < jobs[0].Came+70*time.Second {
 						most[path] = max(most[path], k)
 						continue
 					}
-					assert.LessOrEqual(t, k, 2*most[path]+50, "%s of %s grows", path, n.Name)
+					assert.LessOrEqual(t, k, 2*most[path]+50, "%s of %s grows", path, node.Name)
 				}
 			}
 		}
 	}
-	ended := map[core.Standing]int{}
+	ended := map[core.JobState]int{}
 	for _, j := range jobs {
 		ends(t, w, j, 2*time.Minute)
 		ended[j.Told]++
 	}
-	assert.Greater(t, ended[core.Withdrawn], len(jobs)/6, "a quarter is cancelled, some too late")
-	assert.Greater(t, ended[core.Complete], len(jobs)/2)
+	assert.Greater(t, ended[core.JobCancelled], len(jobs)/6, "a quarter is cancelled, some too late")
+	assert.Greater(t, ended[core.JobDone], len(jobs)/2)
 	require.True(t, w.Until(3*time.Minute, allGone(w)))
-	w.Run(w.Cfg.Cancel + 20*time.Second)
-	for i, n := range w.Nodes {
-		for path, k := range tables(n.Core) {
-			assert.LessOrEqual(t, k, before[i][path]+20, "%s of %s after %d jobs", path, n.Name, len(jobs))
+	w.Run(w.Cfg.CancelWithin + 20*time.Second)
+	for i, node := range w.Nodes {
+		for path, k := range tables(node.Core) {
+			assert.LessOrEqual(t, k, before[i][path]+20, "%s of %s after %d jobs", path, node.Name, len(jobs))
 		}
 	}
 	for key := range w.Store.rows {
 		assert.False(t, strings.HasPrefix(key, "slice/"), key)
 	}
 	for _, j := range jobs { // and each has its answer at every node, for ever
-		w.Look(j, 1)
+		w.Poll(j, 1)
 		w.Run(50 * time.Millisecond)
 	}
-	assert.Equal(t, 2*len(w.Nodes)*len(jobs), w.Users.Looks)
+	assert.Equal(t, 2*len(w.Nodes)*len(jobs), w.Users.Polls)
 }
--- a/internal/fake/meet_accept_test.go
+++ b/internal/fake/meet_accept_test.go
@@ -22,7 +22,7 @@
 }
 
 // places says whether a change is of a slice with tasks on machines.
-func places(s core.Set) bool {
+func places(s core.Mutation) bool {
 	return strings.HasPrefix(s.Key, "slice/") && len(placedIn(s.Value)) > 0
 }
 
@@ -30,8 +30,8 @@
 // for some four hundred tasks of two cores.
 func small(t *testing.T, seed uint64, bytes int) *World {
 	w := oneController(t, seed, func(c *core.Config) {
-		c.ValueBytes = bytes
-		c.Teams[0].Limit = core.Amount{Cores: 400}
+		c.MaxValueBytes = bytes
+		c.Teams[0].Limit = core.Resources{Cores: 400}
 	})
 	for k := range w.Cloud.Room {
 		w.Cloud.Room[k] = 20
@@ -114,10 +114,10 @@
 func TestGroupedValuesAreWrittenOnceAllControllersReadThem(t *testing.T) {
 	w := day(t, 403)
 	old := true
-	w.Tells = func(n *Node, m core.Message) core.Message {
-		if g := m.Gossip; g != nil && old && n == w.Nodes[2] {
+	w.ChangePeerMessage = func(node *Node, m core.Message) core.Message {
+		if g := m.Gossip; g != nil && old && node == w.Nodes[2] {
 			older := *g
-			older.Reads = 0
+			older.ValueFormat = 0
 			m.Gossip = &older
 		}
 		return m
@@ -154,7 +154,7 @@
 	w.Nodes[0].Crash()
 	key := "slice/a/job-1"
 	kept := w.Store.rows[key]
-	w.Store.rows[key] = row{value: []byte(`{"p":7}`), stamp: kept.stamp}
+	w.Store.rows[key] = row{value: []byte(`{"p":7}`), revision: kept.revision}
 	w.Nodes[0].Start()
 	starts, grants := w.Referee.Starts, string(w.Store.rows["quota/red"].value)
 	more := w.Submit(spec("job-2", "red", 2, 2), 5*time.Second)
--- a/internal/fake/meet_cancel_more_test.go
+++ b/internal/fake/meet_cancel_more_test.go
@@ -14,20 +14,20 @@
 
 // asks has users ask about a job at one controller again and again for a while, and
 // counts the answers by status.
-func asks(w *World, n *Node, id string, every, d time.Duration) map[int]int {
+func asks(w *World, node *Node, id string, every, d time.Duration) map[int]int {
 	answers := map[int]int{}
 	for at := time.Duration(0); at < d; at += every {
 		w.After(at, func() {
-			w.user(n, id, func(req uint64) any { return core.Poll{Req: req, ID: id} }, func(status int) { answers[status]++ })
+			w.user(node, id, func(req uint64) any { return core.JobQuery{RequestID: req, ID: id} }, func(status int) { answers[status]++ })
 		})
 	}
 	return answers
 }
 
 // holds says whether a controller holds itself a zone's owner.
-func holds(n *Node, zone string) bool {
-	for _, p := range n.Core.Status().Parts {
-		if p.Zone == zone && p.Here {
+func holds(node *Node, zone string) bool {
+	for _, p := range node.Core.Status().Shards {
+		if p.Zone == zone && p.OwnedHere {
 			return true
 		}
 	}
@@ -63,12 +63,12 @@
 		w := day(t, 130)
 		jobs := runsInA(t, w, "red", 4, 2, 2)
 		old := w.Nodes[0]
-		w.Alone(old, 60*time.Second, hold)
+		w.Isolate(old, 60*time.Second, hold)
 		var at *Node
 		require.True(t, w.Until(20*time.Second, func() bool {
-			for _, n := range w.Nodes[1:] {
-				if holds(n, "a") {
-					at = n
+			for _, node := range w.Nodes[1:] {
+				if holds(node, "a") {
+					at = node
 				}
 			}
 			return at != nil
@@ -77,9 +77,9 @@
 		var answers []map[int]int
 		for _, j := range jobs {
 			answers = append(answers, asks(w, old, j.Spec.ID, 100*time.Millisecond, 50*time.Second))
-			w.StopAt(at, j, nil)
+			w.CancelAt(at, j, nil)
 		}
-		w.Run(w.Cfg.Cancel)
+		w.Run(w.Cfg.CancelWithin)
 		assert.Zero(t, nowOn(w, jobs))
 		for _, a := range answers {
 			assert.Greater(t, a[503], 300, "the old leader is asked and says that it can't know")
@@ -106,9 +106,9 @@
 	}
 	stop := func(some []*Job) {
 		for i, j := range some {
-			w.After(time.Duration(i)*300*time.Millisecond, func() { w.Stop(j) })
+			w.After(time.Duration(i)*300*time.Millisecond, func() { w.Cancel(j) })
 			for _, n := range w.Nodes {
-				asks(w, n, j.Spec.ID, 500*time.Millisecond, w.Cfg.Cancel)
+				asks(w, n, j.Spec.ID, 500*time.Millisecond, w.Cfg.CancelWithin)
 			}
 		}
 	}
@@ -122,8 +122,8 @@
 	alone := cancelled() - slow
 	stop(jobs[6:8])
 	w.Run(200 * time.Millisecond)
-	w.Store.Outage(w.Cfg.Cancel + 20*time.Second)
-	w.Run(w.Cfg.Cancel + 10*time.Second)
+	w.Store.Outage(w.Cfg.CancelWithin + 20*time.Second)
+	w.Run(w.Cfg.CancelWithin + 10*time.Second)
 	late := cancelled() - slow - alone
 	assert.Positive(t, slow, "confirmed while it was slow")
 	assert.Positive(t, alone, "and while it refused the leader alone")
@@ -144,8 +144,8 @@
 		job := runsInA(t, w, "red", 1, 2, 2)[0]
 		lost := false
 		w.Store.Lose = func(_ string, txn core.Txn) (bool, time.Duration) {
-			for _, a := range txn.Apply {
-				if !lost && a.Key == "job/"+job.Spec.ID && withdrawnValue(a.Value) {
+			for _, a := range txn.Mutations {
+				if !lost && a.Key == "job/"+job.Spec.ID && isCancelledRecord(a.Value) {
 					lost = true
 					return true, late
 				}
@@ -155,12 +155,12 @@
 		for _, n := range w.Nodes {
 			asks(w, n, job.Spec.ID, 30*time.Millisecond, 12*time.Second)
 		}
-		w.StopAt(w.Nodes[1], job, nil)
+		w.CancelAt(w.Nodes[1], job, nil)
 		require.True(t, w.Until(5*time.Second, func() bool { return lost }))
 		for !job.Over() && w.Now < time.Hour {
 			w.Run(5 * time.Millisecond)
 		}
-		assert.True(t, withdrawnValue(w.Store.rows["job/"+job.Spec.ID].value), "it is written down: %v", late)
+		assert.True(t, isCancelledRecord(w.Store.rows["job/"+job.Spec.ID].value), "it is written down: %v", late)
 		w.Run(15 * time.Second)
 		assert.Empty(t, w.On(job.Spec.ID))
 	}
@@ -173,14 +173,14 @@
 	for _, k := range w.Alive() {
 		w.CutOneWay("node-0", k.name, 100*time.Millisecond)
 	}
-	w.StopAt(w.Nodes[0], job, func() {
+	w.CancelAt(w.Nodes[0], job, func() {
 		w.Nodes[0].Restart(50 * time.Millisecond)
 		w.Cut("users", "node-0", time.Hour, false) // nor does anybody ask
 	})
 	w.Run(40 * time.Millisecond)
 	require.True(t, job.Over())
 	require.NotEmpty(t, w.On(job.Spec.ID), "its halts have not left")
-	w.Run(w.Cfg.Cancel + 10*time.Second)
+	w.Run(w.Cfg.CancelWithin + 10*time.Second)
 	assert.Empty(t, w.On(job.Spec.ID))
 }
 
@@ -202,24 +202,24 @@
 			w.Run(12 * time.Second)
 			require.Zero(t, nowOn(w, next), "the limits are used up")
 			for _, j := range append(slices.Clone(red), blue...) {
-				for k := range w.On(j.Spec.ID) {
+				for worker := range w.On(j.Spec.ID) {
 					if held == "hang" {
-						k.Hang(w.Cfg.Lease - 3*time.Second)
+						worker.Hang(w.Cfg.WorkerLease - 3*time.Second)
 					} else {
-						w.cutMachine(k, w.Cfg.Lease+20*time.Second, held == "held")
+						w.cutMachine(worker, w.Cfg.WorkerLease+20*time.Second, held == "held")
 					}
 				}
 			}
 			old := leaderOf(w, "a")
 			w.After(300*time.Millisecond, func() { old.Restart(25 * time.Second) })
 			for _, j := range append(slices.Clone(red[:3]), blue...) {
-				w.StopAt(w.Nodes[1+w.Rng.IntN(2)], j, nil)
+				w.CancelAt(w.Nodes[1+w.Rng.IntN(2)], j, nil)
 			}
 			require.True(t, w.Until(15*time.Second, func() bool { n := leaderOf(w, "a"); return n != nil && n != old }), "the leader changes")
 			for _, j := range next {
 				ends(t, w, j, 3*time.Minute)
 			}
-			w.Run(w.Cfg.Cancel)
+			w.Run(w.Cfg.CancelWithin)
 			assert.Zero(t, nowOn(w, append(slices.Clone(red[:3]), blue...)))
 		})
 	}
@@ -234,20 +234,20 @@
 	// it until after it is written down.
 	strikes := 0
 	w.OnMoment = func(m Moment) {
-		if m.Step != End || m.Phase != Before || m.Job.AskedStop {
+		if m.Step != End || m.Phase != Before || m.Job.CancelRequested {
 			return
 		}
 		job := m.Job
-		job.AskedStop = true
+		job.CancelRequested = true
 		strikes++
 		from := time.Duration(strikes*13%700) * time.Millisecond
-		for i, n := range w.Nodes {
+		for i, node := range w.Nodes {
 			at := func(d time.Duration, f func()) { w.After(from+time.Duration(i)*time.Millisecond+d, f) }
-			ask := func(ev func(req uint64) any) func() { return func() { w.user(n, job.Spec.ID, ev, func(int) {}) } }
-			poll := ask(func(req uint64) any { return core.Poll{Req: req, ID: job.Spec.ID} })
+			ask := func(ev func(req uint64) any) func() { return func() { w.user(node, job.Spec.ID, ev, func(int) {}) } }
+			poll := ask(func(req uint64) any { return core.JobQuery{RequestID: req, ID: job.Spec.ID} })
 			at(0, poll)
-			at(time.Millisecond, func() { w.StopAt(n, job, poll) })
-			at(2*time.Millisecond, ask(func(req uint64) any { return core.Submit{Req: req, Spec: job.Spec} }))
+			at(time.Millisecond, func() { w.CancelAt(node, job, poll) })
+			at(2*time.Millisecond, ask(func(req uint64) any { return core.JobSubmission{RequestID: req, Spec: job.Spec} }))
 			at(5*time.Millisecond, poll)
 			at(40*time.Millisecond, poll)
 		}
@@ -259,15 +259,15 @@
 		jobs = append(jobs, w.Submit(s, time.Duration(2000+i*37%900)*time.Millisecond))
 		w.Run(time.Second)
 	}
-	told := map[core.Standing]int{}
+	told := map[core.JobState]int{}
 	for _, j := range jobs {
 		ends(t, w, j, time.Minute)
 		told[j.Told]++
 	}
 	w.Run(5 * time.Second)
 	assert.Greater(t, strikes, 80)
-	assert.Greater(t, told[core.Complete], 10, "ended first")
-	assert.Greater(t, told[core.Withdrawn], 10, "cancelled first")
+	assert.Greater(t, told[core.JobDone], 10, "ended first")
+	assert.Greater(t, told[core.JobCancelled], 10, "cancelled first")
 	assert.Zero(t, nowOn(w, jobs))
 }
 
@@ -328,8 +328,8 @@
 					return // some run already
 				}
 				ended = m.Node
-				w.Stop(jobs[1])
-				w.Stop(jobs[2])
+				w.Cancel(jobs[1])
+				w.Cancel(jobs[2])
 				w.After(0, func() { ended.Restart(5 * time.Second) })
 			}
 			w.Store.slowFor(900*time.Millisecond, 20*time.Second)
@@ -339,15 +339,15 @@
 				jobs = append(jobs, w.Submit(s, 15*time.Second))
 			}
 			require.True(t, w.Until(20*time.Second, func() bool { return ended != nil }), "the leader ends at a placement")
-			for _, k := range w.Workers {
-				if k.zone == "a" {
-					require.Less(t, w.Now-k.born, 8*time.Second, "on machines that are new")
+			for _, worker := range w.Workers {
+				if worker.zone == "a" {
+					require.Less(t, w.Now-worker.born, 8*time.Second, "on machines that are new")
 				}
 			}
 			for _, j := range jobs {
 				ends(t, w, j, 3*time.Minute)
 			}
-			assert.Equal(t, core.Withdrawn, jobs[1].Told)
+			assert.Equal(t, core.JobCancelled, jobs[1].Told)
 			w.Run(20 * time.Second)
 			assert.Zero(t, nowOn(w, jobs))
 		})
--- a/internal/fake/meet_cancel_test.go
+++ b/internal/fake/meet_cancel_test.go
@@ -62,9 +62,9 @@
 // is out for all, for longer than cancel_s.
 func (g *gap) confirmed(then func()) {
 	told := false
-	g.StopAt(g.other, g.job, func() {
+	g.CancelAt(g.other, g.job, func() {
 		told = true
-		g.Store.Outage(g.Cfg.Cancel + 25*time.Second)
+		g.Store.Outage(g.Cfg.CancelWithin + 25*time.Second)
 		if then != nil {
 			then()
 		}
@@ -76,7 +76,7 @@
 // the job's tasks was gone.
 func (g *gap) gone() time.Duration {
 	last := g.Now
-	for end := g.Now + g.Cfg.Cancel + 30*time.Second; g.Now < end; g.Run(100 * time.Millisecond) {
+	for end := g.Now + g.Cfg.CancelWithin + 30*time.Second; g.Now < end; g.Run(100 * time.Millisecond) {
 		if len(g.On("job-1")) > 0 {
 			last = g.Now
 		}
@@ -86,9 +86,9 @@
 
 // aloneBound is how long after its last proof of fresh withdrawals an owner answers
 // its workers, and their leases thereafter.
-func (g *gap) aloneBound() time.Duration { return g.Cfg.Cancel - 2*time.Second }
+func (g *gap) aloneBound() time.Duration { return g.Cfg.CancelWithin - 2*time.Second }
 
-func (g *gap) byWord() {
+func (g *gap) cancelByMessage() {
 	g.t.Helper()
 	assert.Less(g.t, g.gone(), 4*time.Second, "the owner hears of it")
 	assert.NotEmpty(g.t, g.On("job-2"), "and other work goes on")
@@ -97,12 +97,12 @@
 func (g *gap) byBound() {
 	g.t.Helper()
 	d := g.gone()
-	assert.Greater(g.t, d, g.Cfg.Cancel/2, "nobody told the owner")
+	assert.Greater(g.t, d, g.Cfg.CancelWithin/2, "nobody told the owner")
 	assert.Less(g.t, d, g.aloneBound(), "its workers' leases have run out in time")
 }
 
-// wordless loses what the other controller says to the owner, for the time given.
-func (g *gap) wordless(d time.Duration) {
+// cutMessages loses what the other controller says to the owner, for the time given.
+func (g *gap) cutMessages(d time.Duration) {
 	g.CutOneWay(g.other.Name, g.owner.Name, d)
 }
 
@@ -112,7 +112,7 @@
 	g := newGap(t, 101, "a", "b", "c")
 	g.refused()
 	g.confirmed(nil)
-	g.byWord()
+	g.cancelByMessage()
 }
 
 func TestGapTheOwnerIsCutFromWhoeverConfirmed(t *testing.T) {
@@ -128,7 +128,7 @@
 	for _, hold := range []bool{false, true} {
 		g := newGap(t, 103, "a", "b", "c")
 		g.refused()
-		g.Alone(g.owner, longer, hold)
+		g.Isolate(g.owner, longer, hold)
 		g.confirmed(nil)
 		g.byBound()
 	}
@@ -138,16 +138,16 @@
 	// The word itself is lost; what is gossiped afterwards repeats it.
 	g := newGap(t, 104, "a", "b")
 	g.refused()
-	g.wordless(2 * time.Second)
+	g.cutMessages(2 * time.Second)
 	g.confirmed(nil)
 	assert.NotEmpty(t, g.On("job-1"), "the word was lost")
-	g.byWord()
+	g.cancelByMessage()
 }
 
 func TestGapTheConfirmingControllerEnds(t *testing.T) {
 	g := newGap(t, 105, "a", "b")
 	g.refused()
-	g.wordless(time.Second)
+	g.cutMessages(time.Second)
 	g.confirmed(func() { g.other.Restart(longer) })
 	g.byBound()
 }
@@ -157,7 +157,7 @@
 	for _, back := range []time.Duration{50 * time.Millisecond, 400 * time.Millisecond, 3 * time.Second} {
 		g := newGap(t, 106, "a", "b")
 		g.refused()
-		g.wordless(time.Second)
+		g.cutMessages(time.Second)
 		g.confirmed(func() {
 			g.other.Restart(back)
 			g.Heal(g.other.Name, g.owner.Name)
@@ -174,14 +174,14 @@
 			k.Hang(hang)
 		}
 		g.confirmed(nil)
-		assert.Less(t, g.gone(), min(hang, g.Cfg.Lease)+5*time.Second, "at the end of its lease at the latest")
+		assert.Less(t, g.gone(), min(hang, g.Cfg.WorkerLease)+5*time.Second, "at the end of its lease at the latest")
 	}
 }
 
 func TestGapTheMachinesHangAndNobodyTellsTheOwner(t *testing.T) {
 	g := newGap(t, 108, "a", "b")
 	g.refused()
-	g.wordless(longer)
+	g.cutMessages(longer)
 	for k := range g.On("job-1") {
 		k.Hang(9 * time.Second)
 	}
@@ -196,7 +196,7 @@
 		g := newGap(t, 109, "a", "b")
 		g.refused()
 		g.Store.Refuse(g.owner.Name, longer)
-		g.wordless(longer)
+		g.cutMessages(longer)
 		from := g.Now
 		if after > 0 {
 			g.Store.Outage(after)
@@ -206,7 +206,7 @@
 		g.confirmed(nil)
 		d := g.gone()
 		assert.Less(t, d, g.aloneBound()-(g.job.Cancelled-from))
-		assert.Greater(t, d+g.job.Cancelled-from, g.Cfg.Cancel-8*time.Second, "no machine is given up early")
+		assert.Greater(t, d+g.job.Cancelled-from, g.Cfg.CancelWithin-8*time.Second, "no machine is given up early")
 	}
 }
 
@@ -217,14 +217,14 @@
 	g.refused()
 	g.Cut(g.other.Name, g.owner.Name, 26*time.Second, true)
 	g.Run(1200 * time.Millisecond)
-	g.wordless(longer) // the word itself is lost
+	g.cutMessages(longer) // the word itself is lost
 	g.confirmed(func() { g.other.Restart(longer) })
 	g.byBound()
 }
 
 // isPlacement says whether a transaction places tasks of the job.
 func isPlacement(txn core.Txn, id string) bool {
-	for _, s := range txn.Apply {
+	for _, s := range txn.Mutations {
 		if places(s) && strings.HasSuffix(s.Key, "/"+id) {
 			return true
 		}
@@ -251,8 +251,8 @@
 		return hit, 0
 	}
 	g.Store.Late = func(node string, op any) time.Duration {
-		read, isRead := op.(core.ReadOp)
-		_, isFollow := op.(core.FollowOp)
+		read, isRead := op.(core.ReadKey)
+		_, isFollow := op.(core.WatchKeys)
 		if node == g.owner.Name && lost && (isFollow || isRead && read.Key == "job/job-3") {
 			return 1500 * time.Millisecond
 		}
@@ -260,8 +260,8 @@
 	}
 	job := g.next("job-3")
 	require.True(g.t, g.Until(10*time.Second, func() bool { return lost }), "the placement's answer is lost")
-	g.wordless(wordless)
-	g.StopAt(g.other, job, func() {
+	g.cutMessages(wordless)
+	g.CancelAt(g.other, job, func() {
 		g.Store.Outage(outage)
 		if told != nil {
 			told()
@@ -282,9 +282,9 @@
 func TestGossipThatHasForgottenACancellationVouchesForNothing(t *testing.T) {
 	// The owner is cut from the other controller for longer than that one repeats a
 	// cancellation. The machines are kept though they are silent.
-	g := newGapWith(t, 112, func(c *core.Config) { c.Knobs.SilentReturn = 10 * time.Minute }, "a", "b")
-	g.unsure(g.Cfg.Cancel+25*time.Second, g.Cfg.Cancel+12*time.Second, nil)
-	g.Run(g.Cfg.Cancel + 40*time.Second)
+	g := newGapWith(t, 112, func(c *core.Config) { c.Tuning.ReturnSilentAfter = 10 * time.Minute }, "a", "b")
+	g.unsure(g.Cfg.CancelWithin+25*time.Second, g.Cfg.CancelWithin+12*time.Second, nil)
+	g.Run(g.Cfg.CancelWithin + 40*time.Second)
 	assert.Zero(t, g.Referee.AfterCancel, "no start after a confirmed cancellation")
 }
 
@@ -292,8 +292,8 @@
 	g := newGap(t, 113, "a", "b")
 	held := false
 	g.Store.Late = func(node string, op any) time.Duration {
-		c, isCommit := op.(core.CommitOp)
-		if _, isFollow := op.(core.FollowOp); isFollow && node == g.owner.Name && held {
+		c, isCommit := op.(core.CommitTxn)
+		if _, isFollow := op.(core.WatchKeys); isFollow && node == g.owner.Name && held {
 			return 3 * time.Second
 		}
 		if !held && isCommit && isPlacement(c.Txn, "job-3") {
@@ -304,8 +304,8 @@
 	}
 	job := g.next("job-3")
 	require.True(t, g.Until(10*time.Second, func() bool { return held }), "the placement is under way")
-	g.wordless(4 * time.Second)
-	g.StopAt(g.other, job, nil)
+	g.cutMessages(4 * time.Second)
+	g.CancelAt(g.other, job, nil)
 	require.True(t, g.Until(800*time.Millisecond, job.Over))
 	g.Run(20 * time.Second)
 	assert.Zero(t, g.Referee.AfterCancel, "no start after a confirmed cancellation")
@@ -315,37 +315,37 @@
 // machine's reports come; the job is cancelled before the next of them.
 func (g *gap) heldLaunch(told func()) {
 	held := 0
-	g.Held = func(k *Worker, what any) time.Duration {
-		if !launches(what, "job-3") {
+	g.DelayOnWire = func(worker *Worker, what any) time.Duration {
+		if !isLaunchOf(what, "job-3") {
 			return 0
 		}
 		held++
-		k.nextAt = g.Now + time.Second
-		return g.Cfg.Cancel + 10*time.Second
+		worker.nextAt = g.Now + time.Second
+		return g.Cfg.CancelWithin + 10*time.Second
 	}
 	g.Run(time.Second) // between two reports
 	job := g.next("job-3")
 	require.True(g.t, g.Until(10*time.Second, func() bool { return held > 0 }), "the launch is under way")
-	g.StopAt(g.other, job, told)
+	g.CancelAt(g.other, job, told)
 	require.True(g.t, g.Until(time.Second, job.Over))
 	require.Zero(g.t, job.Starts)
-	g.Run(g.Cfg.Cancel + 20*time.Second)
+	g.Run(g.Cfg.CancelWithin + 20*time.Second)
 	assert.Equal(g.t, 1, held)
 	assert.Zero(g.t, g.Referee.AfterCancel, "no start after a confirmed cancellation")
 }
 
 func TestALaunchHeldUpStartsNothingAfterACancellation(t *testing.T) {
 	g := newGap(t, 114, "a", "b")
-	before := g.Store.rows["part/a"].stamp
+	before := g.Store.rows["part/a"].revision
 	claims := 0
 	g.Store.Late = func(_ string, op any) time.Duration {
-		if c, ok := op.(core.CommitOp); ok && len(c.Txn.Apply) > 0 && c.Txn.Apply[0].Key == "part/a" {
+		if c, ok := op.(core.CommitTxn); ok && len(c.Txn.Mutations) > 0 && c.Txn.Mutations[0].Key == "part/a" {
 			claims++
 		}
 		return 0
 	}
 	g.heldLaunch(nil)
-	assert.Greater(t, g.Store.rows["part/a"].stamp, before, "the token is raised")
+	assert.Greater(t, g.Store.rows["part/a"].revision, before, "the token is raised")
 	assert.Equal(t, 1, claims, "once")
 	assert.NotEmpty(t, g.On("job-2"), "and other work on the machines goes on")
 }
@@ -360,7 +360,7 @@
 		require.True(t, g.Until(time.Minute, started(g.World, "job-4", 1)))
 		starts := g.Jobs["job-4"].Starts
 		g.heldLaunch(func() {
-			g.Store.Outage(g.Cfg.Cancel + 25*time.Second)
+			g.Store.Outage(g.Cfg.CancelWithin + 25*time.Second)
 			for _, k := range g.Workers {
 				k.nextAt += later
 			}
@@ -370,8 +370,8 @@
 	}
 }
 
-// deaf lets the machines hear nothing of the owner for a while.
-func (g *gap) deaf(d time.Duration) {
+// cutFromPeers lets the machines hear nothing of the owner for a while.
+func (g *gap) cutFromPeers(d time.Duration) {
 	for _, k := range g.Workers {
 		g.CutOneWay(g.owner.Name, k.name, d)
 	}
@@ -383,7 +383,7 @@
 	out := new(bool)
 	hit := false
 	g.Store.Late = func(_ string, op any) time.Duration {
-		l, ok := op.(core.ListOp)
+		l, ok := op.(core.ListKeys)
 		if !ok || l.Prefix != "slice/a/" {
 			return 0
 		}
@@ -391,7 +391,7 @@
 			hit = true
 			g.After(6*time.Second, func() {
 				*out = true
-				g.Store.Outage(g.Cfg.Cancel + 25*time.Second)
+				g.Store.Outage(g.Cfg.CancelWithin + 25*time.Second)
 			})
 		}
 		return 3 * time.Second // longer than anybody waits
@@ -402,10 +402,10 @@
 func TestANewOwnerThatHasNotLoadedStopsWhatIsCancelled(t *testing.T) {
 	// It has been up for longer than cancel_s, so that it knows all that counts.
 	g := newGap(t, 115, "a", "b")
-	g.Run(g.Cfg.Cancel)
+	g.Run(g.Cfg.CancelWithin)
 	out := g.loadsNothing()
-	g.deaf(100 * time.Millisecond)
-	g.StopAt(g.other, g.job, func() { g.owner.Restart(7 * time.Second) })
+	g.cutFromPeers(100 * time.Millisecond)
+	g.CancelAt(g.other, g.job, func() { g.owner.Restart(7 * time.Second) })
 	require.True(t, g.Until(20*time.Second, func() bool { return *out }), "the part is claimed and not loaded")
 	require.Nil(t, leaderOf(g.World, "a"))
 	assert.Less(t, g.gone(), 12*time.Second, "at the first report to the new owner")
@@ -418,16 +418,16 @@
 	// little, but what it knows by the time it may is what the others tell it.
 	g := newGap(t, 117, "a", "b")
 	g.loadsNothing()
-	g.deaf(3 * time.Second)
+	g.cutFromPeers(3 * time.Second)
 	var again []string
-	g.Overhear = func(_, to string, m core.Message) {
+	g.OnPeerMessage = func(_, to string, m core.Message) {
 		if m.Gossip != nil && to == g.owner.Name && g.owner.life > 1 {
-			for _, it := range m.Gossip.Withdrawn {
+			for _, it := range m.Gossip.Cancellations {
 				again = append(again, it.Key)
 			}
 		}
 	}
-	g.StopAt(g.other, g.job, nil)
+	g.CancelAt(g.other, g.job, nil)
 	g.Run(2 * time.Second)
 	require.NotEmpty(t, g.On("job-1"))
 	g.owner.Restart(50 * time.Millisecond)
@@ -443,8 +443,8 @@
 	hit := g.loadsNothing()
 	g.Store.Refuse(g.other.Name, 20*time.Second)
 	g.Cut(g.owner.Name, g.other.Name, 100*time.Millisecond, false)
-	g.deaf(100 * time.Millisecond)
-	g.StopAt(g.owner, g.job, func() { g.owner.Restart(50 * time.Millisecond) })
+	g.cutFromPeers(100 * time.Millisecond)
+	g.CancelAt(g.owner, g.job, func() { g.owner.Restart(50 * time.Millisecond) })
 	require.True(t, g.Until(20*time.Second, func() bool { return *hit }), "the part is claimed anew and not loaded")
 	require.NotEmpty(t, g.On("job-1"))
 	g.gone()
@@ -460,7 +460,7 @@
 
 func TestManySmallJobsOfWhichAQuarterIsCancelled(t *testing.T) {
 	cfg := Settings()
-	cfg.Teams[0].Limit = core.Amount{Cores: 400}
+	cfg.Teams[0].Limit = core.Resources{Cores: 400}
 	w := NewWith(120, cfg, "a", "b", "c", "a", "b", "c", "a")
 	t.Cleanup(func() { assert.Empty(t, w.Referee.Broken, "rules") })
 	for k := range w.Cloud.Room {
@@ -470,13 +470,13 @@
 	var repeated, told int
 	var all, withdrawals counted
 	allSent, withdrawalsSent := gob.NewEncoder(&all), gob.NewEncoder(&withdrawals)
-	w.Overhear = func(_, _ string, m core.Message) {
+	w.OnPeerMessage = func(_, _ string, m core.Message) {
 		if m.Gossip == nil {
 			return
 		}
 		require.NoError(t, allSent.Encode(m))
-		require.NoError(t, withdrawalsSent.Encode(m.Gossip.Withdrawn))
-		repeated += len(m.Gossip.Withdrawn)
+		require.NoError(t, withdrawalsSent.Encode(m.Gossip.Cancellations))
+		repeated += len(m.Gossip.Cancellations)
 	}
 	var jobs []*Job
 	const minutes = 3
@@ -485,13 +485,13 @@
 		job := w.Submit(s, 12*time.Second)
 		jobs = append(jobs, job)
 		if i%4 == 0 {
-			w.After(time.Duration(w.Rng.IntN(15000))*time.Millisecond, func() { w.Stop(job) })
+			w.After(time.Duration(w.Rng.IntN(15000))*time.Millisecond, func() { w.Cancel(job) })
 		}
 		w.Run(250 * time.Millisecond)
 	}
 	for _, j := range jobs {
 		ends(t, w, j, 2*time.Minute)
-		if j.Told == core.Withdrawn {
+		if j.Told == core.JobCancelled {
 			told++
 		}
 	}
--- a/internal/fake/meet_quota_test.go
+++ b/internal/fake/meet_quota_test.go
@@ -14,8 +14,8 @@
 // quotaRaces counts transactions that were refused because a team's grants had changed.
 func quotaRaces(w *World, team string) *int {
 	n := new(int)
-	w.Store.Carried = append(w.Store.Carried, func(_ string, _ core.Txn, res core.CommitResult) {
-		if slices.Contains(res.Failed, "quota/"+team) {
+	w.Store.OnExecuted = append(w.Store.OnExecuted, func(_ string, _ core.Txn, res core.CommitResult) {
+		if slices.Contains(res.FailedKeys, "quota/"+team) {
 			*n++
 		}
 	})
--- a/internal/fake/meet_users_test.go
+++ b/internal/fake/meet_users_test.go
@@ -16,7 +16,7 @@
 
 // sets says whether a transaction gives a job the standing: nothing for unfinished.
 func sets(txn core.Txn, id, standing string) bool {
-	for _, s := range txn.Apply {
+	for _, s := range txn.Mutations {
 		if s.Key == "job/"+id {
 			return strings.Contains(string(s.Value), `"st":"`) == (standing != "") &&
 				strings.Contains(string(s.Value), standing)
@@ -32,7 +32,7 @@
 	"owner back at once":    func(w *World) { w.Nodes[0].Restart(30 * time.Millisecond) },
 	"all restart":           func(w *World) { restartAll(w) },
 	"store refuses one":     func(w *World) { w.Store.Refuse("node-0", 20*time.Second) },
-	"one alone":             func(w *World) { w.Alone(w.Nodes[0], 15*time.Second, true) },
+	"one alone":             func(w *World) { w.Isolate(w.Nodes[0], 15*time.Second, true) },
 	"one cut from peers":    func(w *World) { w.cutPeers(w.Nodes[0], 30*time.Second, false) },
 	"one stands still":      func(w *World) { w.Nodes[0].Freeze(6 * time.Second) },
 	"store away":            func(w *World) { w.Store.Outage(6 * time.Second) },
@@ -83,11 +83,11 @@
 }
 
 func TestUsersThroughEveryTroubleThatTheWorldKnows(t *testing.T) {
-	for i, trouble := range Troubles {
+	for i, trouble := range Faults {
 		t.Run(trouble.Name, func(t *testing.T) {
 			t.Parallel()
 			w := day(t, 200+uint64(i))
-			w.CloseLooks(time.Minute, 0.2)
+			w.PollClosely(time.Minute, 0.2)
 			w.OddRequests(time.Minute)
 			at, struck := Target{Node: w.Nodes[0]}, false
 			for i := range 40 {
@@ -95,7 +95,7 @@
 				w.Run(time.Second)
 				if at.Worker = anyUp(w); i >= 12 && !struck && at.Worker != nil {
 					at.Job, struck = job, true
-					trouble.Strike(w, at, (trouble.Least+trouble.Most)/2)
+					trouble.Inject(w, at, (trouble.Least+trouble.Most)/2)
 				}
 			}
 			require.True(t, struck)
@@ -104,15 +104,15 @@
 					ends(t, w, j, 5*time.Minute)
 				}
 			}
-			assert.Greater(t, w.Users.Looks, 300)
+			assert.Greater(t, w.Users.Polls, 300)
 			assert.Greater(t, w.Users.Repeats+w.Users.Stopped+w.Users.Nobodys+w.Users.Bad, 30)
 		})
 	}
 }
 
 func TestCloseLooksNeverGetAnOlderAnswer(t *testing.T) {
-	throughOddMoments(t, func(w *World) { w.CloseLooks(time.Minute, 0.3) }, func(t *testing.T, w *World) {
-		assert.Greater(t, w.Users.Looks, 500)
+	throughOddMoments(t, func(w *World) { w.PollClosely(time.Minute, 0.3) }, func(t *testing.T, w *World) {
+		assert.Greater(t, w.Users.Polls, 500)
 		assert.Greater(t, w.Users.AtOnce, 3)
 	})
 }
@@ -130,7 +130,7 @@
 // hear of the next change at once.
 func distract(w *World) {
 	w.odd++
-	w.Store.apply(core.Txn{Apply: []core.Set{{Key: fmt.Sprintf("job/job-%d", 700000+w.odd), Value: []byte(`{"s":{},"st":"done"}`)}}})
+	w.Store.apply(core.Txn{Mutations: []core.Mutation{{Key: fmt.Sprintf("job/job-%d", 700000+w.odd), Value: []byte(`{"s":{},"st":"done"}`)}}})
 }
 
 // lookApart asks some nodes and repeats the submission at the others, so that none
@@ -138,16 +138,16 @@
 func lookApart(w *World, job *Job, odd, times int) {
 	count := func(status int) {
 		if status == 200 {
-			w.Users.Looks++
+			w.Users.Polls++
 		}
 	}
 	for i := range times {
 		w.After(time.Duration(i)*4*time.Millisecond, func() {
-			for k, n := range w.Nodes {
+			for k, node := range w.Nodes {
 				if (k+odd)%2 == 0 {
-					w.ask(n, job.Spec.ID, count)
+					w.ask(node, job.Spec.ID, count)
 				} else {
-					w.repeat(n, job, count)
+					w.repeat(node, job, count)
 				}
 			}
 		})
@@ -172,12 +172,12 @@
 			job := w.Submit(spec("job-1", "red", 2, 2), 5*time.Second)
 			if standing == "withdrawn" {
 				require.True(t, w.Until(time.Minute, started(w, "job-1", 2)))
-				w.Stop(job)
+				w.Cancel(job)
 			}
 			ends(t, w, job, time.Minute)
 			w.Run(time.Second)
 			assert.Equal(t, 1, lost)
-			assert.Greater(t, w.Users.Looks, 50)
+			assert.Greater(t, w.Users.Polls, 50)
 		})
 	}
 }
@@ -185,7 +185,7 @@
 func TestQuestionsMeetTheEndOfAJobsLastTask(t *testing.T) {
 	for seed := range uint64(6) {
 		w := day(t, 130+seed)
-		w.CloseLooks(2*time.Minute, 0)
+		w.PollClosely(2*time.Minute, 0)
 		met := 0
 		w.Store.Lose = func(_ string, txn core.Txn) (bool, time.Duration) {
 			if sets(txn, "job-1", "done") {
@@ -198,14 +198,14 @@
 		require.True(t, w.Until(time.Minute, func() bool { return len(job.Finished) == 2 || len(job.Finished) == 3 }))
 		var look func() // every 5 ms, over the end and the moment at which it is written
 		look = func() {
-			if w.Look(job, 1); !job.Over() {
+			if w.Poll(job, 1); !job.Over() {
 				w.After(5*time.Millisecond, look)
 			}
 		}
 		look()
 		ends(t, w, job, time.Minute)
 		w.Run(time.Second)
-		assert.Greater(t, w.Users.Looks, 50)
+		assert.Greater(t, w.Users.Polls, 50)
 		assert.Positive(t, met)
 	}
 }
@@ -221,13 +221,13 @@
 	for _, c := range []struct {
 		id     string
 		status int
-		s      core.Standing
+		s      core.JobState
 		rule   string
 	}{
 		{"job-1", 404, 0, ""}, {"job-1", 503, 0, ""}, {"job-2", 400, 0, ""}, {"job-2", 422, 0, ""}, // as it should be
 		{"job-1", 400, 0, "refused: job-1"}, {"job-1", 422, 0, "refused: job-1"},
 		{"job-2", 201, 0, "bad_accepted: job-2"}, {"job-2", 200, 0, "bad_accepted: job-2"},
-		{"job-1", 201, 0, ""}, {"job-1", 201, 0, "went_back: job-1 was accepted"}, {"job-1", 200, core.Active, ""},
+		{"job-1", 201, 0, ""}, {"job-1", 201, 0, "went_back: job-1 was accepted"}, {"job-1", 200, core.JobRunning, ""},
 		{"job-1", 422, 0, "forgotten: job-1"}, {"job-1", 404, 0, "forgotten: job-1"},
 	} {
 		w.Referee.Broken = nil
@@ -246,24 +246,24 @@
 	w.cutPeers(w.Nodes[0], 10*time.Minute, false)
 	met := 0
 	w.Store.Lose = func(node string, txn core.Txn) (bool, time.Duration) {
-		for _, g := range txn.Guards {
-			if node == "node-0" && len(txn.Apply) > 0 && g.Stamp == 0 && w.Store.rows[g.Key].stamp > 0 {
+		for _, g := range txn.Conditions {
+			if node == "node-0" && len(txn.Mutations) > 0 && g.Revision == 0 && w.Store.rows[g.Key].revision > 0 {
 				met++ // it is known already, and this one does not know it
 			}
 		}
 		return false, 0
 	}
 	for i := range 40 {
-		job := &Job{Spec: spec(fmt.Sprintf("job-%d", i), "red", 1, 1), Run: time.Minute, AskedStop: true,
+		job := &Job{Spec: spec(fmt.Sprintf("job-%d", i), "red", 1, 1), Run: time.Minute, CancelRequested: true,
 			Finished: map[int]bool{}, Saved: map[int]time.Duration{}}
 		w.Jobs[job.Spec.ID] = job
 		w.repeat(w.Nodes[1], job, func(int) {
-			w.user(w.Nodes[1], job.Spec.ID, func(req uint64) any { return core.Withdraw{Req: req, ID: job.Spec.ID} }, func(int) {
+			w.user(w.Nodes[1], job.Spec.ID, func(req uint64) any { return core.JobCancellation{RequestID: req, ID: job.Spec.ID} }, func(int) {
 				w.repeat(w.Nodes[0], job, func(int) {})
 			})
 		})
 		w.Run(513 * time.Millisecond)
-		assert.Equal(t, core.Withdrawn, job.Told)
+		assert.Equal(t, core.JobCancelled, job.Told)
 	}
 	assert.Greater(t, met, 3)
 }
@@ -296,10 +296,10 @@
 	w.Cloud.Room[roomKey("small", "c", true)] = -1 // nor is there another once it is returned
 	var held *core.Txn                             // the move, which is on its way until the owner of a looks
 	w.Store.Lose = func(_ string, txn core.Txn) (bool, time.Duration) {
-		if len(txn.Apply) != 3 || txn.Apply[0].Key != "slice/c/job-1" {
+		if len(txn.Mutations) != 3 || txn.Mutations[0].Key != "slice/c/job-1" {
 			return false, 0
 		}
-		if txn.Apply[1].Key == "slice/b/job-1" {
+		if txn.Mutations[1].Key == "slice/b/job-1" {
 			held = &txn
 		}
 		return true, time.Hour // to a none gets at all
@@ -310,10 +310,10 @@
 			return 0
 		}
 		w.After(19999*time.Microsecond, func() {
-			for i, g := range held.Guards { // as the owner of c would send it now
-				held.Guards[i].Stamp = w.Store.rows[g.Key].stamp
+			for i, g := range held.Conditions { // as the owner of c would send it now
+				held.Conditions[i].Revision = w.Store.rows[g.Key].revision
 			}
-			if moved = w.Store.apply(*held).Outcome == core.OK; moved {
+			if moved = w.Store.apply(*held).Outcome == core.OutcomeOK; moved {
 				w.Store.Lose = nil
 			}
 		})
--- a/internal/fake/meet_workers_test.go
+++ b/internal/fake/meet_workers_test.go
@@ -12,7 +12,7 @@
 )
 
 // plain is a job in zone a whose tasks fill a small machine each and need no image.
-func plain(id string, tasks int) core.Spec {
+func plain(id string, tasks int) core.JobSpec {
 	s := spec(id, "red", tasks, 4)
 	s.Image, s.ImageGB, s.Types, s.Zone = "", 0, []string{"small"}, "a"
 	return s
@@ -23,7 +23,7 @@
 func idleMachines(t *testing.T, seed uint64, n int, zones ...string) *World {
 	cfg := Settings()
 	cfg.Zones = zones
-	cfg.Knobs.SilentReturn, cfg.Knobs.KeepIdle = 10*time.Minute, 10*time.Minute
+	cfg.Tuning.ReturnSilentAfter, cfg.Tuning.KeepIdle = 10*time.Minute, 10*time.Minute
 	w := New(seed, cfg)
 	t.Cleanup(func() { assert.Empty(t, w.Referee.Broken, "rules") })
 	if testing.Verbose() {
@@ -52,13 +52,13 @@
 
 // leaderOf is the controller that holds itself the zone's owner.
 func leaderOf(w *World, zone string) *Node {
-	for _, n := range w.Nodes {
-		if !n.up {
+	for _, node := range w.Nodes {
+		if !node.up {
 			continue
 		}
-		for _, p := range n.Core.Status().Parts {
-			if p.Zone == zone && p.Here && p.Loaded {
-				return n
+		for _, p := range node.Core.Status().Shards {
+			if p.Zone == zone && p.OwnedHere && p.Loaded {
+				return node
 			}
 		}
 	}
@@ -69,11 +69,11 @@
 // machine. The machine's next report leaves after quiet.
 func holdLaunch(w *World, job string, d, quiet time.Duration) func() *Worker {
 	var at *Worker
-	w.Held = func(k *Worker, what any) time.Duration {
-		if at != nil || !launches(what, job) {
+	w.DelayOnWire = func(worker *Worker, what any) time.Duration {
+		if at != nil || !isLaunchOf(what, job) {
 			return 0
 		}
-		at, k.nextAt = k, w.Now+quiet
+		at, worker.nextAt = worker, w.Now+quiet
 		return d
 	}
 	return func() *Worker { return at }
@@ -89,18 +89,18 @@
 	}{{"never shown", 6 * time.Second, 0}, {"started by an answer", 0, 1}} {
 		t.Run(c.name, func(t *testing.T) {
 			w := idleMachines(t, 101, 2, "a")
-			at := holdLaunch(w, "job-1", w.Cfg.Cancel+30*time.Second, c.quiet)
+			at := holdLaunch(w, "job-1", w.Cfg.CancelWithin+30*time.Second, c.quiet)
 			job := w.Submit(plain("job-1", 1), 5*time.Minute)
 			require.True(t, w.Until(10*time.Second, func() bool { return at() != nil }), "a launch is held up")
 			sent := w.Now
 			if c.starts > 0 {
 				require.True(t, w.Until(5*time.Second, started(w, "job-1", 1)))
 			}
-			w.Stop(job)
+			w.Cancel(job)
 			ends(t, w, job, 3*time.Second)
-			w.Run(sent + w.Cfg.Cancel + 40*time.Second - w.Now)
+			w.Run(sent + w.Cfg.CancelWithin + 40*time.Second - w.Now)
 			assert.Equal(t, c.starts, job.Starts)
-			assert.Equal(t, uint64(1), at().session, "nothing else kept it from starting")
+			assert.Equal(t, uint64(1), at().incarnation, "nothing else kept it from starting")
 		})
 	}
 }
@@ -108,11 +108,11 @@
 func TestAGangStoppedWhileALaunchIsHeldUpStartsOnce(t *testing.T) {
 	w := idleMachines(t, 102, 5, "a")
 	var held, unreached *Worker
-	w.Held = func(k *Worker, what any) time.Duration {
+	w.DelayOnWire = func(worker *Worker, what any) time.Duration {
 		switch {
-		case !launches(what, "job-1"):
+		case !isLaunchOf(what, "job-1"):
 		case held == nil: // reports when the other task's failure is known
-			held, k.nextAt = k, w.Now+3200*time.Millisecond
+			held, worker.nextAt = worker, w.Now+3200*time.Millisecond
 			return 9 * time.Second
 		}
 		return 0
@@ -134,25 +134,25 @@
 
 func TestCopiesOfAnEarlierSessionKeptForTheNextLeaderSettleNothing(t *testing.T) {
 	w := idleMachines(t, 103, 4, "a", "b", "c")
-	first := map[*Worker]core.Report{}
-	for _, k := range alive(w, "a") {
-		first[k] = k.report()
-		w.Cut("node-0", k.name, w.Cfg.Lease+2*time.Second, false)
-		w.Cut("node-1", k.name, w.Cfg.Lease+2*time.Second, false)
-		w.Cut("node-2", k.name, w.Cfg.Lease+2*time.Second, false)
+	first := map[*Worker]core.WorkerStatus{}
+	for _, worker := range alive(w, "a") {
+		first[worker] = worker.status()
+		w.Cut("node-0", worker.name, w.Cfg.WorkerLease+2*time.Second, false)
+		w.Cut("node-1", worker.name, w.Cfg.WorkerLease+2*time.Second, false)
+		w.Cut("node-2", worker.name, w.Cfg.WorkerLease+2*time.Second, false)
 	}
-	w.Run(w.Cfg.Lease + time.Second)
-	second := map[*Worker]core.Report{}
-	for k := range first {
-		require.Equal(t, uint64(2), k.session, "its lease ran out while it was idle")
-		second[k] = k.report()
+	w.Run(w.Cfg.WorkerLease + time.Second)
+	second := map[*Worker]core.WorkerStatus{}
+	for worker := range first {
+		require.Equal(t, uint64(2), worker.incarnation, "its lease ran out while it was idle")
+		second[worker] = worker.status()
 	}
 	w.Run(5 * time.Second)
 	job := w.Submit(plain("job-1", 2), time.Minute)
 	require.True(t, w.Until(10*time.Second, started(w, "job-1", 2)))
-	for k := range w.On("job-1") { // nobody reaches it while the leader changes
+	for worker := range w.On("job-1") { // nobody reaches it while the leader changes
 		for _, n := range w.Nodes {
-			w.Cut(n.Name, k.name, 9*time.Second, false)
+			w.Cut(n.Name, worker.name, 9*time.Second, false)
 		}
 	}
 	claims := 0
@@ -160,11 +160,11 @@
 		if claims++; zone != "a" || claims > 1 {
 			return
 		}
-		for i, reports := range []map[*Worker]core.Report{first, second} {
+		for i, reports := range []map[*Worker]core.WorkerStatus{first, second} {
 			w.After(time.Duration(1+i)*100*time.Millisecond, func() {
-				for k := range w.On("job-1") {
+				for worker := range w.On("job-1") {
 					for _, n := range w.Nodes {
-						n.hears(reports[k])
+						n.receiveHeartbeat(reports[worker])
 					}
 				}
 			})
@@ -182,7 +182,7 @@
 	// which is free to start elsewhere then.
 	w := idleMachines(t, 104, 1, "a")
 	node := w.Nodes[0]
-	big := func(id string, tasks int, cores float64) core.Spec {
+	big := func(id string, tasks int, cores float64) core.JobSpec {
 		s := plain(id, tasks)
 		s.Types, s.Need.Cores = []string{"large"}, cores
 		return s
@@ -191,11 +191,11 @@
 	require.True(t, w.Until(time.Minute, started(w, "job-2", 2)))
 	w.Run(5 * time.Second)
 	var at *Worker
-	w.Store.Carried = append(w.Store.Carried, func(_ string, txn core.Txn, _ core.CommitResult) {
-		for _, s := range txn.Apply {
-			for _, k := range alive(w, "a") {
-				if at == nil && s.Key == "slice/a/job-1" && strings.Contains(string(s.Value), k.name) {
-					at = k
+	w.Store.OnExecuted = append(w.Store.OnExecuted, func(_ string, txn core.Txn, _ core.CommitResult) {
+		for _, s := range txn.Mutations {
+			for _, worker := range alive(w, "a") {
+				if at == nil && s.Key == "slice/a/job-1" && strings.Contains(string(s.Value), worker.name) {
+					at = worker
 					node.Restart(50 * time.Millisecond)
 				}
 			}
@@ -203,15 +203,15 @@
 	})
 	w.OnClaim(func(string, string) { // its report is the first that the next leader hears of it
 		w.After(40*time.Millisecond, func() {
-			at.flying, at.dirty, at.nextAt, at.lastSent = false, true, 0, 0
-			at.maybeBeat()
+			at.heartbeatPending, at.dirty, at.nextAt, at.lastSent = false, true, 0, 0
+			at.maybeHeartbeat()
 		})
 	})
 	answered := false
-	w.Held = func(k *Worker, what any) time.Duration {
-		if r, ok := what.(core.BeatReply); ok && node.life == 2 && r.Status == 200 && k == at && !answered {
+	w.DelayOnWire = func(worker *Worker, what any) time.Duration {
+		if r, ok := what.(core.HeartbeatReply); ok && node.life == 2 && r.Status == 200 && worker == at && !answered {
 			answered = true
-			k.Recall(time.Minute) // its next start is elsewhere
+			worker.GiveSpotNotice(time.Minute) // its next start is elsewhere
 			return 3 * time.Second
 		}
 		return 0
@@ -227,16 +227,16 @@
 func TestAMachineReturnedStaysReturnedWhateverCopiesCome(t *testing.T) {
 	w := oneController(t, 105, nil)
 	ends(t, w, w.Submit(plain("job-1", 2), 3*time.Second), time.Minute)
-	late := map[*Worker]core.Report{}
+	late := map[*Worker]core.WorkerStatus{}
 	for _, k := range alive(w, "a") {
-		late[k] = k.report()
+		late[k] = k.status()
 	}
 	require.True(t, w.Until(2*time.Minute, allGone(w)))
 	for _, rep := range late {
-		w.Nodes[0].hears(rep)
+		w.Nodes[0].receiveHeartbeat(rep)
 	}
 	w.Run(200 * time.Millisecond)
-	for _, p := range w.Nodes[0].Core.Status().Parts {
+	for _, p := range w.Nodes[0].Core.Status().Shards {
 		assert.Empty(t, p.Hosts)
 	}
 }
@@ -245,13 +245,13 @@
 	w := idleMachines(t, 106, 3, "a", "b", "c")
 	job := w.Submit(plain("job-1", 3), time.Minute)
 	require.True(t, w.Until(10*time.Second, started(w, "job-1", 3)))
-	w.Alone(w.Nodes[0], 50*time.Second, false)
+	w.Isolate(w.Nodes[0], 50*time.Second, false)
 	claimed := false
 	w.OnClaim(func(node, zone string) { claimed = claimed || zone == "a" && node != "node-0" })
 	require.True(t, w.Until(10*time.Second, func() bool { return claimed }), "another leader begins")
-	w.Run(w.Cfg.Lease)
-	for _, p := range w.Nodes[0].Core.Status().Parts {
-		assert.False(t, p.Here && p.Zone == "a", "the former leader has stepped down")
+	w.Run(w.Cfg.WorkerLease)
+	for _, p := range w.Nodes[0].Core.Status().Shards {
+		assert.False(t, p.OwnedHere && p.Zone == "a", "the former leader has stepped down")
 	}
 	ends(t, w, job, 2*time.Minute)
 	assert.Equal(t, 3, job.Starts, "nothing had to run again")
@@ -265,7 +265,7 @@
 	}
 	standing := func(of string) func(core.Txn) bool {
 		return func(x core.Txn) bool {
-			return changes(x, "job/job-1") && strings.Contains(string(x.Apply[0].Value), `"st":"`+of)
+			return changes(x, "job/job-1") && strings.Contains(string(x.Mutations[0].Value), `"st":"`+of)
 		}
 	}
 	for _, c := range []struct {
@@ -273,7 +273,7 @@
 		pick       func(core.Txn) bool
 	}{
 		{"a part is claimed", "blue", func(x core.Txn) bool { return changes(x, "part/") }},
-		{"a job is accepted", "blue", func(x core.Txn) bool { return changes(x, "job/") && len(x.Apply) == 2 }},
+		{"a job is accepted", "blue", func(x core.Txn) bool { return changes(x, "job/") && len(x.Mutations) == 2 }},
 		{"a grant grows", "blue", func(x core.Txn) bool { return changes(x, "quota/blue") }},
 		{"a task is placed", "guest", placement}, // without any grant
 		{"a job is done", "blue", standing("done")},
@@ -291,12 +291,12 @@
 			job := w.Submit(s, 6*time.Second)
 			if c.name == "a job is withdrawn" {
 				require.True(t, w.Until(time.Minute, started(w, "job-1", 1)))
-				w.Stop(job)
+				w.Cancel(job)
 			}
 			ends(t, w, job, time.Minute)
 			require.True(t, w.Until(20*time.Second, func() bool { return late.Over }), "it came late")
 			assert.True(t, late.Overtaken, "a newer one was before it")
-			assert.Equal(t, core.Refused, late.Result.Outcome)
+			assert.Equal(t, core.OutcomeRefused, late.Result.Outcome)
 			w.Run(10 * time.Second)
 		})
 	}
@@ -307,7 +307,7 @@
 	// tasks planned that can't be written, the rest. Neither is carried out; a copy of
 	// the first is, after the tasks have started. Another part wants all there is.
 	w := idleMachines(t, 117, 2, "a", "b")
-	blue := func(id string, zone string, tasks int) core.Spec {
+	blue := func(id string, zone string, tasks int) core.JobSpec {
 		s := plain(id, tasks)
 		s.Team, s.Zone = "blue", zone
 		return s
@@ -322,9 +322,9 @@
 	held := func() string { return string(w.Store.rows["quota/blue"].value) }
 	require.Contains(t, held(), `"a":{"c":9`)
 	var asked []string
-	w.Again = func(_ string, op any) time.Duration {
-		if x, ok := op.(core.CommitOp); ok && len(x.Txn.Apply) == 1 && x.Txn.Apply[0].Key == "quota/blue" {
-			if asked = append(asked, string(x.Txn.Apply[0].Value)); len(asked) == 1 {
+	w.RepeatRequest = func(_ string, op any) time.Duration {
+		if x, ok := op.(core.CommitTxn); ok && len(x.Txn.Mutations) == 1 && x.Txn.Mutations[0].Key == "quota/blue" {
+			if asked = append(asked, string(x.Txn.Mutations[0].Value)); len(asked) == 1 {
 				return 6500 * time.Millisecond
 			}
 		}
@@ -334,7 +334,7 @@
 	w.Store.Outage(4 * time.Second)
 	planned := func() bool { return len(asked) > 0 && strings.Contains(asked[len(asked)-1], `"c":8`) }
 	for end := w.Now + 4*time.Second; w.Now < end && !planned(); w.Run(20 * time.Millisecond) {
-		w.Nodes[0].take(core.PeerMessage{Message: core.Message{Boot: 1, Asks: []core.GrantAsk{{Team: "blue", Cores: 4, Rank: 1}}}})
+		w.Nodes[0].process(core.PeerMessage{Message: core.Message{Epoch: 1, GrantRequests: []core.GrantRequest{{Team: "blue", Cores: 4, Rank: 1}}}})
 	}
 	require.True(t, planned(), "it asked with the tasks planned: %v", asked)
 	require.Contains(t, asked, "{}", "and before them")
@@ -367,14 +367,14 @@
 				}
 				told = true
 				host := ""
-				for _, k := range alive(w, "a") {
-					if strings.Contains(string(txn.Apply[len(txn.Apply)-1].Value), k.name) {
-						host = k.name
+				for _, worker := range alive(w, "a") {
+					if strings.Contains(string(txn.Mutations[len(txn.Mutations)-1].Value), worker.name) {
+						host = worker.name
 					}
 				}
 				w.After(time.Millisecond, func() {
-					node.take(core.PeerMessage{Message: core.Message{Boot: 1,
-						Slices: []core.Item{{Key: key, Value: []byte(c.value(host)), Stamp: w.Store.ledger + 100}}}})
+					node.process(core.PeerMessage{Message: core.Message{Epoch: 1,
+						Assignments: []core.Item{{Key: key, Value: []byte(c.value(host)), Revision: w.Store.revision + 100}}}})
 				})
 				return true, 24 * time.Hour // it is never carried out
 			}
