--- a/internal/fake/moments.go
+++ b/internal/fake/moments.go
@@ -13,24 +13,24 @@
 
 // Steps of the protocols.
 const (
-	Accept   Step = "accept"    // a job is written
-	Place    Step = "place"     // a task gets a machine in the store
-	Launch   Step = "launch"    // a worker is told to start a task
-	Reports  Step = "report"    // a worker with tasks reports
-	End      Step = "end"       // a task completes
-	Clear    Step = "clear"     // a worker is told to forget a task that has ended
-	Withdraw Step = "withdraw"  // a cancellation is written
-	Grant    Step = "grant"     // a part gets more of a team's limit
-	GiveBack Step = "give back" // a part gives some back
-	Move     Step = "move"      // waiting tasks change parts
-	Claim    Step = "claim"     // a controller takes a part
-	HandOver Step = "hand over" // an owner gives a part up
-	Hire     Step = "hire"      // machines are rented
-	Return   Step = "return"    // machines are given back
+	Accept    Step = "accept"    // a job is written
+	Place     Step = "place"     // a task gets a machine in the store
+	Launch    Step = "launch"    // a worker is told to start a task
+	Reports   Step = "report"    // a worker with tasks reports
+	End       Step = "end"       // a task completes
+	Forget    Step = "clear"     // a worker is told to forget a task that has ended
+	CancelJob Step = "withdraw"  // a cancellation is written
+	Grant     Step = "grant"     // a part gets more of a team's limit
+	GiveBack  Step = "give back" // a part gives some back
+	Move      Step = "move"      // waiting tasks change parts
+	Claim     Step = "claim"     // a controller takes a part
+	HandOver  Step = "hand over" // an owner gives a part up
+	Rent      Step = "hire"      // machines are rented
+	Return    Step = "return"    // machines are given back
 )
 
 // Steps lists them.
-var Steps = []Step{Accept, Place, Launch, Reports, End, Clear, Withdraw, Grant, GiveBack, Move, Claim, HandOver, Hire, Return}
+var Steps = []Step{Accept, Place, Launch, Reports, End, Forget, CancelJob, Grant, GiveBack, Move, Claim, HandOver, Rent, Return}
 
 // Phase says how far a step has come.
 type Phase string
@@ -68,27 +68,27 @@
 		return nil, nil
 	}
 	switch op := op.(type) {
-	case core.HireOp:
-		return []Step{Hire}, nil
-	case core.ReturnOp:
+	case core.RentHosts:
+		return []Step{Rent}, nil
+	case core.ReturnHosts:
 		return []Step{Return}, nil
-	case core.CommitOp:
+	case core.CommitTxn:
 		seen := map[Step]bool{}
 		slices := 0
-		for _, a := range op.Txn.Apply {
+		for _, a := range op.Txn.Mutations {
 			kind, rest, _ := strings.Cut(a.Key, "/")
 			old, known := w.Store.rows[a.Key]
 			switch kind {
 			case "job":
 				job = w.Jobs[rest]
 				seen[Accept] = seen[Accept] || !known
-				seen[Withdraw] = seen[Withdraw] || known && withdrawnValue(a.Value) && !withdrawnValue(old.value)
+				seen[CancelJob] = seen[CancelJob] || known && isCancelledRecord(a.Value) && !isCancelledRecord(old.value)
 			case "slice":
 				slices++
 				if _, id, _ := strings.Cut(rest, "/"); job == nil {
 					job = w.Jobs[id]
 				}
-				seen[Place] = seen[Place] || core.PlacedIn(a.Value) > core.PlacedIn(old.value)
+				seen[Place] = seen[Place] || core.CountPlaced(a.Value) > core.CountPlaced(old.value)
 			case "quota":
 				more, less := grants(old.value, a.Value)
 				seen[Grant], seen[GiveBack] = seen[Grant] || more, seen[GiveBack] || less
@@ -97,7 +97,7 @@
 				seen[HandOver] = seen[HandOver] || a.Value == nil
 			}
 		}
-		seen[Move] = slices == 2 && !seen[Accept] && len(op.Txn.Apply) == 3 && job != nil && movesOf(op.Txn)
+		seen[Move] = slices == 2 && !seen[Accept] && len(op.Txn.Mutations) == 3 && job != nil && movesOf(op.Txn)
 		for _, s := range Steps {
 			if seen[s] {
 				steps = append(steps, s)
@@ -110,13 +110,13 @@
 // movesOf says whether a transaction's slices are of one job.
 func movesOf(t core.Txn) bool {
 	jobs := map[string]bool{}
-	for _, a := range t.Apply {
+	for _, a := range t.Mutations {
 		jobs[a.Key[strings.LastIndex(a.Key, "/")+1:]] = true
 	}
 	return len(jobs) == 1
 }
 
-func withdrawnValue(value []byte) bool { return strings.Contains(string(value), `"st":"withdrawn"`) }
+func isCancelledRecord(value []byte) bool { return strings.Contains(string(value), `"st":"withdrawn"`) }
 
 // grants says whether any part gets more of a team's limit, or less.
 func grants(old, now []byte) (more, less bool) {
@@ -133,27 +133,27 @@
 	return more, less
 }
 
-// orders tells of the launches and clears among commands.
-func (w *World) orders(phase Phase, n *Node, k *Worker, orders []core.Order) {
+// commandMoments tells of the launches and clears among commands.
+func (w *World) commandMoments(phase Phase, node *Node, worker *Worker, orders []core.Command) {
 	for _, o := range orders {
 		switch o.Verb {
-		case core.Launch:
-			w.moment(Moment{Launch, phase, n, k, w.Jobs[o.Task.Job]})
-		case core.Clear:
-			w.moment(Moment{Clear, phase, n, k, w.Jobs[o.Task.Job]})
+		case core.VerbLaunch:
+			w.moment(Moment{Launch, phase, node, worker, w.Jobs[o.Task.Job]})
+		case core.VerbForget:
+			w.moment(Moment{Forget, phase, node, worker, w.Jobs[o.Task.Job]})
 		}
 	}
 }
 
 // OwnerOf is the controller that holds a zone's part, or nil.
 func (w *World) OwnerOf(zone string) *Node {
-	for _, n := range w.Nodes {
-		if !n.up {
+	for _, node := range w.Nodes {
+		if !node.up {
 			continue
 		}
-		for _, p := range n.Core.Status().Parts {
-			if p.Zone == zone && p.Here {
-				return n
+		for _, p := range node.Core.Status().Shards {
+			if p.Zone == zone && p.OwnedHere {
+				return node
 			}
 		}
 	}
--- a/internal/fake/ops_test.go
+++ b/internal/fake/ops_test.go
@@ -34,17 +34,17 @@
 	ends(t, w, own, 90*time.Second)
 	for _, j := range jobs {
 		ends(t, w, j, 5*time.Minute)
-		assert.Equal(t, core.Complete, j.Told)
+		assert.Equal(t, core.JobDone, j.Told)
 	}
 	w.Referee.Served()
 	require.True(t, w.Until(3*time.Minute, allGone(w)), "machines go back")
 	for _, n := range w.Nodes {
-		assert.Empty(t, n.Core.Residents(), "nothing is held for them afterwards")
+		assert.Empty(t, n.Core.DescribePlacements(), "nothing is held for them afterwards")
 	}
 }
 
 // broken submits a job with a mistake: it fails on every machine.
-func (w *World) broken(s core.Spec) *Job {
+func (w *World) broken(s core.JobSpec) *Job {
 	job := w.Submit(s, time.Second)
 	job.Broken = true
 	return job
@@ -54,9 +54,9 @@
 func faulty(w *World) int {
 	n := 0
 	for _, node := range w.Nodes {
-		for _, p := range node.Core.Status().Parts {
+		for _, p := range node.Core.Status().Shards {
 			for _, h := range p.Hosts {
-				if p.Here && h.State == "faulty" {
+				if p.OwnedHere && h.State == "faulty" {
 					n += h.Count
 				}
 			}
@@ -65,10 +65,10 @@
 	return n
 }
 
-// doubtful says whether some controller has the job in doubt.
-func doubtful(w *World, id string) bool {
-	for _, n := range w.Nodes {
-		for _, d := range n.Core.Status().Doubtful {
+// suspectFailures says whether some controller has the job in doubt.
+func suspectFailures(w *World, id string) bool {
+	for _, node := range w.Nodes {
+		for _, d := range node.Core.Status().SuspectJobs {
 			if d.Job == id && len(d.Hosts) > 0 && d.Failures > 0 {
 				return true
 			}
@@ -91,7 +91,7 @@
 	}
 	look()
 	ends(t, w, warm, 60*time.Second)
-	require.True(t, w.Until(20*time.Second, func() bool { return doubtful(w, "job-2") }), "operators see it")
+	require.True(t, w.Until(20*time.Second, func() bool { return suspectFailures(w, "job-2") }), "operators see it")
 	w.Run(10 * time.Second)
 	machines, wave := len(w.Workers), job.Starts
 	// Others' work is not kept waiting by it, and it calls for no machines.
@@ -105,9 +105,9 @@
 	assert.LessOrEqual(t, job.Starts-wave, 3*20, "one task at a time in each part, with pauses")
 	assert.Greater(t, job.Starts, wave, "but it is tried")
 	assert.False(t, job.Over(), "and stays known")
-	w.Stop(job)
+	w.Cancel(job)
 	ends(t, w, job, 20*time.Second)
-	assert.Equal(t, core.Withdrawn, job.Told)
+	assert.Equal(t, core.JobCancelled, job.Told)
 }
 
 func TestAFaultyMachineGoesAndTheJobsThatMetItRunInFull(t *testing.T) {
@@ -115,9 +115,9 @@
 	first := w.Submit(spec("job-1", "red", 8, 4), 20*time.Second)
 	require.True(t, w.Until(60*time.Second, started(w, "job-1", 8)))
 	faulty := map[*Worker]bool{}
-	for k := range w.On("job-1") { // half of the machines are bad, more than a job must meet to be doubted
+	for worker := range w.On("job-1") { // half of the machines are bad, more than a job must meet to be doubted
 		if len(faulty) < 2 {
-			k.Faulty, faulty[k] = true, true
+			worker.Faulty, faulty[worker] = true, true
 		}
 	}
 	ends(t, w, first, 90*time.Second)
@@ -140,7 +140,7 @@
 	require.True(t, w.Until(60*time.Second, started(w, "job-1", 10)))
 	job := w.broken(spec("job-2", "red", 24, 2))
 	ends(t, w, warm, 60*time.Second)
-	require.True(t, w.Until(20*time.Second, func() bool { return doubtful(w, "job-2") }))
+	require.True(t, w.Until(20*time.Second, func() bool { return suspectFailures(w, "job-2") }))
 	w.Run(15 * time.Second)
 	for _, n := range w.Nodes {
 		n.Restart(time.Second)
@@ -155,16 +155,16 @@
 func TestWorkThatOnlyFillsRoomGivesWayAndKeepsItsProgress(t *testing.T) {
 	w := oneController(t, 65, func(c *core.Config) {
 		*c = guests(*c)
-		c.Waits = map[string]float64{"urgent": 2, "work": 20}
+		c.StartObjectives = map[string]float64{"urgent": 2, "work": 20}
 	})
 	sweep := spec("job-1", "guest", 60, 4)
-	sweep.Class, sweep.Priority, sweep.Checkpoint, sweep.Save, sweep.Estimate = "sweep", 3, 20, 2, 100
+	sweep.Class, sweep.Priority, sweep.CheckpointSeconds, sweep.SaveSeconds, sweep.EstimateSeconds = "sweep", 3, 20, 2, 100
 	backfill := w.Submit(sweep, 100*time.Second)
 	// Every cheap machine that there is: 6 small and 6 large ones hold 30 tasks.
 	require.True(t, w.Until(90*time.Second, started(w, "job-1", 30)))
 	dear := 0
-	for _, k := range w.Workers {
-		if !k.spot {
+	for _, worker := range w.Workers {
+		if !worker.spot {
 			dear++
 		}
 	}
@@ -208,7 +208,7 @@
 	}
 	ends(t, w, burst(), 90*time.Second)
 	sweep := spec("job-1", "guest", 100, 2) // saves nothing: whoever meets it must wait
-	sweep.Class, sweep.Priority, sweep.Estimate = "sweep", 3, 60
+	sweep.Class, sweep.Priority, sweep.EstimateSeconds = "sweep", 3, 60
 	w.Submit(sweep, 60*time.Second)
 	for range 5 {
 		w.Run(10 * time.Second)
@@ -224,14 +224,14 @@
 	t.Cleanup(func() { assert.Empty(t, w.Referee.Broken, "rules") })
 	w.Run(3 * time.Second)
 	huge := spec("job-1", "guest", 25000, 0.5)
-	huge.Class, huge.Priority, huge.Estimate = "scan", 3, 2
+	huge.Class, huge.Priority, huge.EstimateSeconds = "scan", 3, 2
 	job := w.Submit(huge, 2*time.Second)
 	require.True(t, w.Until(10*time.Second, func() bool { return job.Accepted }))
 	parts := 0
-	for _, n := range w.Nodes {
-		if e, ok := n.Core.Explain("job-1"); ok {
-			for _, p := range e.Parts {
-				if p.Here && p.Waiting > 5000 {
+	for _, node := range w.Nodes {
+		if e, ok := node.Core.Explain("job-1"); ok {
+			for _, p := range e.Shards {
+				if p.OwnedHere && p.Waiting > 5000 {
 					parts++
 				}
 			}
@@ -242,13 +242,13 @@
 	ends(t, w, own, 60*time.Second)
 	for i := range 40 { // many of them find no room
 		s := spec(fmt.Sprintf("job-%d", 100+i), "guest", 1, 4)
-		s.Class, s.Priority, s.Estimate = "check", 3, 100
+		s.Class, s.Priority, s.EstimateSeconds = "check", 3, 100
 		w.Submit(s, 100*time.Second)
 	}
 	w.Run(60 * time.Second)
 	moves := uint64(0)
 	for _, n := range w.Nodes {
-		moves += n.Core.Stats().Moves
+		moves += n.Core.Stats().Rebalanced
 	}
 	assert.Less(t, moves, uint64(600), "tasks moved")
 }
@@ -281,7 +281,7 @@
 	var jobs []*Job
 	for i := range 6 {
 		s := spec(fmt.Sprintf("job-%d", 1+i), "blue", 2, 1)
-		s.Apart = true
+		s.SpreadZones = true
 		jobs = append(jobs, w.Submit(s, 5*time.Second))
 	}
 	for _, j := range jobs {
@@ -301,12 +301,12 @@
 			if trouble == "stands still" {
 				w.Nodes[0].Freeze(40 * time.Second)
 			} else {
-				n := w.Nodes[0]
+				node := w.Nodes[0]
 				for name := range w.Workers {
-					w.Cut(n.Name, name, 40*time.Second, false)
+					w.Cut(node.Name, name, 40*time.Second, false)
 				}
 				for _, o := range []string{"state", "cloud", "users", "node-1", "node-2"} {
-					w.Cut(n.Name, o, 40*time.Second, false)
+					w.Cut(node.Name, o, 40*time.Second, false)
 				}
 			}
 			ends(t, w, job, 3*time.Minute)
@@ -330,7 +330,7 @@
 		}
 		for range 30 {
 			id, asked := jobs[w.Rng.IntN(len(jobs))].Spec.ID, w.Now
-			w.user(w.anyNode(), id, func(req uint64) any { return core.Poll{Req: req, ID: id} }, func(status int) {
+			w.user(w.anyNode(), id, func(req uint64) any { return core.JobQuery{RequestID: req, ID: id} }, func(status int) {
 				switch {
 				case status == 200:
 					ok++
@@ -382,19 +382,19 @@
 	job := w.Submit(spec("job-1", "red", 1, 2), 20*time.Second)
 	require.True(t, w.Until(10*time.Second, started(w, "job-1", 1)))
 	var other *Node
-	for _, n := range w.Nodes {
-		if n.zone != anyOn(w, "job-1").zone {
-			other = n
+	for _, node := range w.Nodes {
+		if node.zone != anyOn(w, "job-1").zone {
+			other = node
 		}
 	}
 	// What its owner was told of two moves into its part comes late, after the tasks
 	// have gone elsewhere: first they wait there, then one is placed.
 	for i, value := range []string{`{"w":[[0,1]],"n":2}`, `{"p":[{"i":0,"h":"vm-999999","a":3}],"n":3}`} {
-		other.handle(core.PeerMessage{Message: core.Message{Boot: 1,
-			Slices: []core.Item{{Key: "slice/" + other.zone + "/job-1", Value: []byte(value), Stamp: uint64(1 + i)}}}})
-		other.settle()
+		other.handle(core.PeerMessage{Message: core.Message{Epoch: 1,
+			Assignments: []core.Item{{Key: "slice/" + other.zone + "/job-1", Value: []byte(value), Revision: uint64(1 + i)}}}})
+		other.advance()
 	}
 	ends(t, w, job, time.Minute)
 	assert.Equal(t, 1, job.Starts)
-	assert.Empty(t, other.Core.Residents())
+	assert.Empty(t, other.Core.DescribePlacements())
 }
--- a/internal/fake/overload_test.go
+++ b/internal/fake/overload_test.go
@@ -14,7 +14,7 @@
 // silentWorkers has a third of the machines reach no controller for a while, in a zone
 // whose owner turns requests away or does not, and returns how many were given back.
 func silentWorkers(t *testing.T, seed uint64, overloaded bool) int {
-	w := cardDay(t, seed, 8*time.Second, 40)
+	w := gpuDay(t, seed, 8*time.Second, 40)
 	for i := range 12 {
 		w.Submit(sweep(fmt.Sprintf("job-%02d", i), 24, 200), 200*time.Second)
 	}
@@ -22,9 +22,9 @@
 	w.Run(20 * time.Second)
 	before := returned(w)
 	const silence = 25 * time.Second // beyond the silence that machines are returned for, within a lease
-	for i, k := range w.Alive() {
+	for i, worker := range w.Alive() {
 		if i%3 == 0 {
-			w.Mute(k, silence)
+			w.CutOutbound(worker, silence)
 		}
 	}
 	for end := w.Now + silence; w.Now < end; w.Run(time.Second) {
@@ -47,7 +47,7 @@
 func TestPartsWithoutAHomeGoToControllersThatOwnFewer(t *testing.T) {
 	// All controllers are in zone a. One that was left alone for a while kept the machines
 	// of all zones for ever, while the others stood by.
-	w := cardDay(t, 931, 8*time.Second, 40)
+	w := gpuDay(t, 931, 8*time.Second, 40)
 	job := w.Submit(sweep("job-1", 60, 100), 100*time.Second)
 	require.True(t, w.Until(time.Minute, started(w, "job-1", 60)))
 	w.Nodes[1].Restart(15 * time.Second)
--- a/internal/fake/play.go
+++ b/internal/fake/play.go
@@ -9,10 +9,10 @@
 
 // Verdict is what became of a script.
 type Verdict struct {
-	Broken []string // what was wrong, in the order in which it was seen
-	Struck []bool   // by strike of the script: whether its moment came
-	Seen   map[Step]int
-	Starts int
+	Broken    []string // what was wrong, in the order in which it was seen
+	Injected  []bool   // by strike of the script: whether its moment came
+	StepsSeen map[Step]int
+	Starts    int
 	// Meetings counts starts after a confirmed cancellation, which break no rule by themselves.
 	AfterCancel int
 	Ended       time.Duration
@@ -58,7 +58,7 @@
 
 // playIn plays the script in a world that was built for it.
 func (s Script) playIn(w *World) (v Verdict) {
-	v = Verdict{Struck: make([]bool, len(s.Steps)), Seen: map[Step]int{}}
+	v = Verdict{Injected: make([]bool, len(s.Steps)), StepsSeen: map[Step]int{}}
 	defer func() {
 		if p := recover(); p != nil {
 			v.Broken = append(v.Broken, fmt.Sprintf("%v panic: %v", w.Now, p))
@@ -68,11 +68,11 @@
 	s.arm(w, &v)
 	w.Run(s.lastAt() + time.Second)
 	over := func() bool { return allOver(jobs) }
-	if w.Until(s.settles(), func() bool { return w.Now > w.Calm && (over() || services(jobs) != nil) }); !over() {
+	if w.Until(s.settles(), func() bool { return w.Now > w.FaultsOverAt && (over() || services(jobs) != nil) }); !over() {
 		w.Run(replicaBy + 15*time.Second) // replicas must be there by then
 	}
 	for _, j := range services(jobs) {
-		w.Stop(j)
+		w.Cancel(j)
 	}
 	w.Until(s.settles(), over)
 	for _, j := range jobs {
@@ -97,20 +97,20 @@
 		w.After(seconds(r.At), func() {
 			w.submit(jobs[i])
 			if r.Cancel > 0 {
-				w.After(seconds(r.Cancel), func() { w.stopAccepted(jobs[i]) })
+				w.After(seconds(r.Cancel), func() { w.cancelAccepted(jobs[i]) })
 			}
 		})
 	}
 	return jobs
 }
 
-// stopAccepted has a user cancel a job, once it is accepted.
-func (w *World) stopAccepted(job *Job) {
+// cancelAccepted has a user cancel a job, once it is accepted.
+func (w *World) cancelAccepted(job *Job) {
 	switch {
-	case job.Accepted && !job.AskedStop:
-		w.Stop(job)
+	case job.Accepted && !job.CancelRequested:
+		w.Cancel(job)
 	case !job.ended():
-		w.After(time.Second, func() { w.stopAccepted(job) })
+		w.After(time.Second, func() { w.cancelAccepted(job) })
 	}
 }
 
@@ -124,7 +124,7 @@
 // services lists the services that nobody has cancelled.
 func services(jobs []*Job) (list []*Job) {
 	for _, j := range jobs {
-		if !j.ended() && j.Spec.Service && !j.AskedStop {
+		if !j.ended() && j.Spec.Service && !j.CancelRequested {
 			list = append(list, j)
 		}
 	}
@@ -152,27 +152,27 @@
 	for i, x := range s.Steps {
 		if x.Step == "" {
 			w.After(seconds(x.At), func() {
-				v.Struck[i] = true
-				x.strike(w, Moment{})
+				v.Injected[i] = true
+				x.inject(w, Moment{})
 			})
 		}
 	}
 	w.OnMoment = func(m Moment) {
 		counts[m.Step][m.Phase]++
 		if m.Phase == During {
-			v.Seen[m.Step]++
+			v.StepsSeen[m.Step]++
 		}
 		for i, x := range s.Steps {
-			if !v.Struck[i] && x.Step == m.Step && x.Phase == m.Phase && x.N == counts[m.Step][m.Phase] {
-				v.Struck[i] = true
-				x.strike(w, m)
+			if !v.Injected[i] && x.Step == m.Step && x.Phase == m.Phase && x.N == counts[m.Step][m.Phase] {
+				v.Injected[i] = true
+				x.inject(w, m)
 			}
 		}
 	}
 }
 
-// strike has the trouble happen to whom the moment concerns, or whom the script names.
-func (x Strike) strike(w *World, m Moment) {
+// inject has the trouble happen to whom the moment concerns, or whom the script names.
+func (x InjectedFault) inject(w *World, m Moment) {
 	at := Target{m.Node, m.Worker, m.Job}
 	if at.Node == nil && at.Worker != nil {
 		at.Node = w.OwnerOf(at.Worker.zone)
@@ -180,11 +180,11 @@
 	if at.Node == nil {
 		at.Node = w.Nodes[0]
 	}
-	for i, n := range w.Nodes {
-		if n.Name == x.Node {
-			at.Node = n
+	for i, node := range w.Nodes {
+		if node.Name == x.Node {
+			at.Node = node
 		}
-		if x.Node == "other" && n == at.Node {
+		if x.Node == "other" && node == at.Node {
 			at.Node = w.Nodes[(i+1)%len(w.Nodes)]
 			break
 		}
@@ -194,33 +194,33 @@
 	} else if at.Worker == nil {
 		at.Worker = w.busyMachine(at)
 	}
-	t, _ := TroubleNamed(x.Trouble)
+	t, _ := FaultNamed(x.Fault)
 	if x.Delay > 0 {
-		w.trouble(seconds(x.Delay))
-		w.After(seconds(x.Delay), func() { t.Strike(w, at, seconds(x.For)) })
+		w.extendFaults(seconds(x.Delay))
+		w.After(seconds(x.Delay), func() { t.Inject(w, at, seconds(x.For)) })
 		return
 	}
-	t.Strike(w, at, seconds(x.For))
+	t.Inject(w, at, seconds(x.For))
 }
 
 // busyMachine is a machine with tasks: of the target's job, if there is one, else of a
 // zone that its controller owns, else any.
 func (w *World) busyMachine(at Target) *Worker {
 	var owned, first *Worker
-	for _, k := range w.Alive() {
-		if len(k.tasks) == 0 {
+	for _, worker := range w.Alive() {
+		if len(worker.tasks) == 0 {
 			continue
 		}
-		for id := range k.tasks {
+		for id := range worker.tasks {
 			if at.Job != nil && id.Job == at.Job.Spec.ID {
-				return k
+				return worker
 			}
 		}
 		if first == nil {
-			first = k
+			first = worker
 		}
-		if owned == nil && w.OwnerOf(k.zone) == at.Node {
-			owned = k
+		if owned == nil && w.OwnerOf(worker.zone) == at.Node {
+			owned = worker
 		}
 	}
 	if owned != nil {
--- a/internal/fake/random.go
+++ b/internal/fake/random.go
@@ -38,14 +38,14 @@
 		controllers = s.World.Controllers
 	}
 	for at := 20.0; at < noiseS; at += d.between(1, 26) {
-		s.Steps = append(s.Steps, d.strike(at, len(controllers)))
+		s.Steps = append(s.Steps, d.fault(at, len(controllers)))
 	}
 	return s
 }
 
 // world draws a kind of world: what is rare in it comes alone or with others.
 func (d draw) world(cards bool) Setting {
-	s := Setting{Noise: noiseS, Lost: 1.0 / 60, LateHire: 1.0 / 15, NeverUp: 1.0 / 12, Boot: [2]float64{1, 25}}
+	s := Setting{Noise: noiseS, Lost: 1.0 / 60, LateRental: 1.0 / 15, NeverUp: 1.0 / 12, Boot: [2]float64{1, 25}}
 	cfg := Settings()
 	s.Teams = cfg.Teams
 	switch d.IntN(10) {
@@ -57,8 +57,8 @@
 		s.Controllers = []string{"a", "c"}
 	}
 	if d.oneIn(8) { // teams that sit at their limit
-		s.Teams[0].Limit, s.Teams[1].Limit = core.Amount{Cores: 12}, core.Amount{Cores: 8}
-		s.Teams[0].Guarantee, s.Teams[1].Guarantee = core.Amount{Cores: 6}, core.Amount{Cores: 4}
+		s.Teams[0].Limit, s.Teams[1].Limit = core.Resources{Cores: 12}, core.Resources{Cores: 8}
+		s.Teams[0].Guarantee, s.Teams[1].Guarantee = core.Resources{Cores: 6}, core.Resources{Cores: 4}
 	}
 	if d.oneIn(4) { // a team without guarantee and limit
 		s.Teams = append(s.Teams, core.Team{Name: "guest"})
@@ -70,22 +70,22 @@
 		s.Keep = 20
 	}
 	if d.oneIn(2) {
-		s.Copies, s.Again = 0.1, 0.05
+		s.Copies, s.Repeated = 0.1, 0.05
 	}
 	if d.oneIn(6) { // machines are up at once, while the store is slow and loses answers
 		s.Boot, s.Slow, s.Lost = [2]float64{1, 2}, d.between(0.2, 1.2), 0.1
 	}
 	if cards {
-		s.Types = append(s.Types, core.MachineType{Name: "carded", Total: core.Amount{Cores: 16, Cards: 4, Mem: 64},
-			CacheGB: 40, GBPerS: 0.5, Price: 3, SpotPrice: 1, BootS: 10})
-		s.Teams[0].Limit.Cards, s.Teams[1].Limit.Cards = 8, 3
-		s.Teams[0].Guarantee.Cards = 2
+		s.Types = append(s.Types, core.MachineType{Name: "carded", Capacity: core.Resources{Cores: 16, GPUs: 4, MemoryGB: 64},
+			CacheGB: 40, FetchGBPerSecond: 0.5, Price: 3, SpotPrice: 1, BootSeconds: 10})
+		s.Teams[0].Limit.GPUs, s.Teams[1].Limit.GPUs = 8, 3
+		s.Teams[0].Guarantee.GPUs = 2
 	}
 	if small := d.oneIn(6); small || cards {
 		for _, name := range []string{"small", "large"} {
-			t := core.MachineType{Name: name, Total: core.Amount{Cores: 4, Mem: 16}, CacheGB: 40, GBPerS: 0.5, Price: 0.4, SpotPrice: 0.15, BootS: 8}
+			t := core.MachineType{Name: name, Capacity: core.Resources{Cores: 4, MemoryGB: 16}, CacheGB: 40, FetchGBPerSecond: 0.5, Price: 0.4, SpotPrice: 0.15, BootSeconds: 8}
 			if name == "large" {
-				t.Total, t.Price, t.SpotPrice, t.BootS = core.Amount{Cores: 16, Mem: 64}, 1.2, 0.4, 10
+				t.Capacity, t.Price, t.SpotPrice, t.BootSeconds = core.Resources{Cores: 16, MemoryGB: 64}, 1.2, 0.4, 10
 			}
 			if small { // caches for one or two images
 				t.CacheGB = 2
@@ -99,16 +99,16 @@
 // job draws a job for a world.
 func (d draw) job(w Setting, id string, at float64, cards bool) Request {
 	team := w.Teams[d.IntN(2)]
-	s := core.Spec{Class: "work", Team: team.Name, Priority: d.IntN(4), Tasks: 1 + d.IntN(6), Spot: !d.oneIn(3),
-		Need: core.Amount{Cores: float64(1 + d.IntN(4)), Mem: 1}, Image: []string{"x", "y", "z"}[d.IntN(3)], ImageGB: 0.5,
-		Estimate: float64(2 + d.IntN(30))}
+	s := core.JobSpec{Class: "work", Team: team.Name, Priority: d.IntN(4), Tasks: 1 + d.IntN(6), Spot: !d.oneIn(3),
+		Need: core.Resources{Cores: float64(1 + d.IntN(4)), MemoryGB: 1}, Image: []string{"x", "y", "z"}[d.IntN(3)], ImageGB: 0.5,
+		EstimateSeconds: float64(2 + d.IntN(30))}
 	r := Request{At: at, ID: id, Run: d.between(2, 32)}
 	zones := w.config().Zones
 	switch d.IntN(12) {
 	case 0:
 		s.OneZone = true
 	case 1:
-		s.Apart = true
+		s.SpreadZones = true
 	case 2:
 		s.Zone = zones[d.IntN(len(zones))]
 	case 3:
@@ -118,11 +118,11 @@
 	case 5: // many small tasks: a value holds but so many of them
 		s.Tasks, s.Need.Cores = 60+d.IntN(60), 0.25
 	case 6:
-		s.Service, s.Estimate, s.Tasks, s.Need.Cores = true, 0, 1+d.IntN(3), 1
-		s.Apart = d.oneIn(3)
+		s.Service, s.EstimateSeconds, s.Tasks, s.Need.Cores = true, 0, 1+d.IntN(3), 1
+		s.SpreadZones = d.oneIn(3)
 	}
 	if cards && d.oneIn(3) {
-		s.Need.Cards, s.Class, s.Types = 1, "cards", nil
+		s.Need.GPUs, s.Class, s.Types = 1, "cards", nil
 		s.Tasks = min(s.Tasks, 6)
 		s.ImageGB = 1.5
 	}
@@ -130,7 +130,7 @@
 		s.Team, s.Class = "guest", "visit"
 	}
 	if d.oneIn(6) && !s.Service { // its tasks save
-		s.Priority, s.Checkpoint, s.Save = 3, 5, float64(d.IntN(3))
+		s.Priority, s.CheckpointSeconds, s.SaveSeconds = 3, 5, float64(d.IntN(3))
 		r.Run *= 2
 	}
 	if d.oneIn(12) && !s.Gang && !s.Service && s.Tasks < 7 {
@@ -149,19 +149,19 @@
 	return r
 }
 
-// strike draws a trouble, most at a time, some at a moment of a step.
-func (d draw) strike(at float64, controllers int) Strike {
+// fault draws a trouble, most at a time, some at a moment of a step.
+func (d draw) fault(at float64, controllers int) InjectedFault {
 	sum := 0
-	for _, t := range Troubles {
+	for _, t := range Faults {
 		sum += t.Weight
 	}
 	pick := d.IntN(sum)
 	i := 0
-	for ; pick >= Troubles[i].Weight; i++ {
-		pick -= Troubles[i].Weight
+	for ; pick >= Faults[i].Weight; i++ {
+		pick -= Faults[i].Weight
 	}
-	t := Troubles[i]
-	x := Strike{At: at, Trouble: t.Name, For: d.between(t.Least.Seconds(), t.Most.Seconds())}
+	t := Faults[i]
+	x := InjectedFault{At: at, Fault: t.Name, For: d.between(t.Least.Seconds(), t.Most.Seconds())}
 	x.Node = fmt.Sprintf("node-%d", d.IntN(controllers))
 	x.Machine = 1 + d.IntN(50)
 	if d.oneIn(4) {
--- a/internal/fake/recorded_test.go
+++ b/internal/fake/recorded_test.go
@@ -36,7 +36,7 @@
 	day := RandomDay(recordedDay)
 	w := day.build()
 	jobs := day.submit(w)
-	v := Verdict{Struck: make([]bool, len(day.Steps)), Seen: map[Step]int{}}
+	v := Verdict{Injected: make([]bool, len(day.Steps)), StepsSeen: map[Step]int{}}
 	day.arm(w, &v)
 	w.Run(recordedAt)
 	marshal := func(value any) json.RawMessage {
@@ -48,15 +48,15 @@
 	for key, row := range w.Store.rows {
 		r.Stored[key] = row.value
 	}
-	for _, n := range w.Nodes {
-		if !n.up {
+	for _, node := range w.Nodes {
+		if !node.up {
 			continue
 		}
-		r.Status[n.Name] = marshal(n.Core.Status())
-		r.Explain[n.Name] = map[string]json.RawMessage{}
+		r.Status[node.Name] = marshal(node.Core.Status())
+		r.Explain[node.Name] = map[string]json.RawMessage{}
 		for _, job := range jobs {
-			if explanation, known := n.Core.Explain(job.Spec.ID); known {
-				r.Explain[n.Name][job.Spec.ID] = marshal(explanation)
+			if explanation, known := node.Core.Explain(job.Spec.ID); known {
+				r.Explain[node.Name][job.Spec.ID] = marshal(explanation)
 			}
 		}
 	}
@@ -95,11 +95,11 @@
 	for _, n := range w.Nodes {
 		n.Crash()
 	}
-	w.Store.ledger++
+	w.Store.revision++
 	placed := 0
 	for key, value := range readRecorded(t).Stored {
-		w.Store.rows[key] = row{value: value, stamp: w.Store.ledger}
-		placed += core.PlacedIn(value)
+		w.Store.rows[key] = row{value: value, revision: w.Store.revision}
+		placed += core.CountPlaced(value)
 	}
 	require.Positive(t, placed, "tasks that had a machine")
 	for _, n := range w.Nodes {
@@ -107,10 +107,10 @@
 	}
 	w.Run(30 * time.Second)
 	seen := 0
-	for _, n := range w.Nodes {
-		for _, part := range n.Core.Status().Parts {
-			if part.Here {
-				assert.True(t, part.Loaded, "%s owns %s and has read all of it", n.Name, part.Zone)
+	for _, node := range w.Nodes {
+		for _, part := range node.Core.Status().Shards {
+			if part.OwnedHere {
+				assert.True(t, part.Loaded, "%s owns %s and has read all of it", node.Name, part.Zone)
 				seen += part.Jobs
 			}
 		}
--- a/internal/fake/referee.go
+++ b/internal/fake/referee.go
@@ -10,25 +10,25 @@
 
 // Job is a job of a user, with its true run time.
 type Job struct {
-	Spec      core.Spec
-	Run       time.Duration
-	Broken    bool // submitted with a mistake: it fails on every machine
-	Bad       bool // it can't run or lacks a field
-	looked    int  // how far its user has looked closely at it: accepted, over
-	Starts    int
-	Finished  map[int]bool
-	Saved     map[int]time.Duration // progress by task
-	Accepted  bool
-	Refused   bool // it can't run or lacks a field, the user was told
-	Told      core.Standing
-	Cancelled time.Duration // when the user was told, 0: not
-	AskedStop bool
-	Came      time.Duration // when it was first submitted
-	Began     time.Duration // when its first task started, 0: not yet
-	Answered  time.Duration // when a question about it was last answered
-	ToldDone  time.Duration
-	Stuck     time.Duration // since when it waits although it need not, 0: it does not
-	Short     time.Duration // since when a service lacks replicas, 0: it does not
+	Spec            core.JobSpec
+	Run             time.Duration
+	Broken          bool // submitted with a mistake: it fails on every machine
+	Bad             bool // it can't run or lacks a field
+	looked          int  // how far its user has looked closely at it: accepted, over
+	Starts          int
+	Finished        map[int]bool
+	Saved           map[int]time.Duration // progress by task
+	Accepted        bool
+	Refused         bool // it can't run or lacks a field, the user was told
+	Told            core.JobState
+	Cancelled       time.Duration // when the user was told, 0: not
+	CancelRequested bool
+	Came            time.Duration // when it was first submitted
+	Began           time.Duration // when its first task started, 0: not yet
+	Answered        time.Duration // when a question about it was last answered
+	ToldDone        time.Duration
+	Stuck           time.Duration // since when it waits although it need not, 0: it does not
+	Short           time.Duration // since when a service lacks replicas, 0: it does not
 }
 
 func (j *Job) save(i int, progress time.Duration) { j.Saved[i] = max(j.Saved[i], progress) }
@@ -62,7 +62,7 @@
 }
 
 // on is called when a task starts on a machine.
-func (r *Referee) on(id core.TaskID, k *Worker) {
+func (r *Referee) on(id core.TaskID, worker *Worker) {
 	r.Starts++
 	job := r.w.Jobs[id.Job]
 	job.Starts++
@@ -70,26 +70,26 @@
 	if job.Began == 0 {
 		job.Began = r.w.Now
 	}
-	if len(r.where[id]) > 0 && !r.where[id][k] {
-		r.broken("ran_twice", "%v starts on %s", id, k.name)
+	if len(r.where[id]) > 0 && !r.where[id][worker] {
+		r.broken("ran_twice", "%v starts on %s", id, worker.name)
 	}
 	if r.where[id] == nil {
 		r.where[id] = map[*Worker]bool{}
 	}
-	r.where[id][k] = true
-	r.place(job, id, k)
-	if job.Cancelled > 0 && r.w.Now > job.Cancelled+r.w.Cfg.Cancel {
-		r.broken("ran_cancelled", "%v starts on %s", id, k.name)
+	r.where[id][worker] = true
+	r.place(job, id, worker)
+	if job.Cancelled > 0 && r.w.Now > job.Cancelled+r.w.Cfg.CancelWithin {
+		r.broken("ran_cancelled", "%v starts on %s", id, worker.name)
 	}
-	r.cancelled(job, id, k)
+	r.cancelled(job, id, worker)
 	if r.w.limited(job.Spec.Team) {
-		r.quota(job, id, k)
+		r.quota(job, id, worker)
 	}
 }
 
 // quota checks what the team's tasks use together.
-func (r *Referee) quota(job *Job, id core.TaskID, k *Worker) {
-	var used core.Amount
+func (r *Referee) quota(job *Job, id core.TaskID, worker *Worker) {
+	var used core.Resources
 	for t, ks := range r.where {
 		if j := r.w.Jobs[t.Job]; j.Spec.Team == job.Spec.Team {
 			for range ks {
@@ -98,7 +98,7 @@
 		}
 	}
 	if !r.w.allows(job.Spec.Team, used) {
-		r.broken("quota", "%s uses %v with %v on %s", job.Spec.Team, used, id, k.name)
+		r.broken("quota", "%s uses %v with %v on %s", job.Spec.Team, used, id, worker.name)
 		for x, ks := range r.where {
 			for o := range ks {
 				if j := r.w.Jobs[x.Job]; j.Spec.Team == job.Spec.Team {
@@ -110,15 +110,15 @@
 }
 
 // place checks type, zone and kind against the job and its other tasks.
-func (r *Referee) place(job *Job, id core.TaskID, k *Worker) {
+func (r *Referee) place(job *Job, id core.TaskID, worker *Worker) {
 	s := &job.Spec
-	wrong := !k.allowed(s)
-	if s.OneZone || s.Apart {
-		here, elsewhere := r.inZone(id.Job, k.zone)
-		wrong = wrong || s.OneZone && elsewhere > 0 || s.Apart && here > (s.Tasks+1)/2
+	wrong := !worker.allowed(s)
+	if s.OneZone || s.SpreadZones {
+		here, elsewhere := r.inZone(id.Job, worker.zone)
+		wrong = wrong || s.OneZone && elsewhere > 0 || s.SpreadZones && here > (s.Tasks+1)/2
 	}
 	if wrong {
-		r.broken("wrong_place", "%v starts on %s in %s", id, k.name, k.zone)
+		r.broken("wrong_place", "%v starts on %s in %s", id, worker.name, worker.zone)
 	}
 }
 
@@ -140,8 +140,8 @@
 }
 
 // off is called when a task is no longer on a machine.
-func (r *Referee) off(id core.TaskID, k *Worker) {
-	delete(r.where[id], k)
+func (r *Referee) off(id core.TaskID, worker *Worker) {
+	delete(r.where[id], worker)
 	if len(r.where[id]) == 0 {
 		delete(r.where, id)
 	}
@@ -161,7 +161,7 @@
 	byClass := map[string][]*Job{}
 	for _, id := range sortedJobs(r.w.Jobs) {
 		j := r.w.Jobs[id]
-		if !j.Accepted || j.AskedStop || j.Spec.Service {
+		if !j.Accepted || j.CancelRequested || j.Spec.Service {
 			continue
 		}
 		groups["class "+j.Spec.Class] = append(groups["class "+j.Spec.Class], j)
@@ -186,7 +186,7 @@
 	for _, name := range names {
 		served := 0
 		for _, j := range groups[name] {
-			if j.Told == core.Complete {
+			if j.Told == core.JobDone {
 				served++
 			}
 		}
@@ -209,14 +209,14 @@
 	r.leftWaiting()
 	for _, id := range sortedJobs(r.w.Jobs) {
 		job := r.w.Jobs[id]
-		if job.Accepted && !job.Over() && r.w.Now > max(r.w.Calm, job.Answered)+forgetAfter {
+		if job.Accepted && !job.Over() && r.w.Now > max(r.w.FaultsOverAt, job.Answered)+forgetAfter {
 			r.broken("forgotten", "no question about %s is answered", id)
 			job.Answered = r.w.Now
 		}
 	}
 	for id := range r.where {
 		job := r.w.Jobs[id.Job]
-		if job.Cancelled > 0 && r.w.Now > job.Cancelled+r.w.Cfg.Cancel {
+		if job.Cancelled > 0 && r.w.Now > job.Cancelled+r.w.Cfg.CancelWithin {
 			r.broken("ran_cancelled", "%v is still on a machine", id)
 			job.Cancelled = 0
 		}
@@ -227,7 +227,7 @@
 // not be older than that.
 type known struct {
 	accepted bool
-	told     core.Standing
+	told     core.JobState
 }
 
 func (r *Referee) known(id string) known {
@@ -238,7 +238,7 @@
 }
 
 // told checks an answer to a user.
-func (r *Referee) told(id string, status int, s core.Standing, before known) {
+func (r *Referee) told(id string, status int, s core.JobState, before known) {
 	job := r.w.Jobs[id]
 	if job == nil {
 		if status == 200 {
@@ -265,39 +265,39 @@
 		r.broken("went_back", "%s was accepted and is so anew", id)
 	}
 	job.Accepted, job.Answered = true, r.w.Now
-	over := before.told == core.Complete || before.told == core.Withdrawn
-	if over && s != before.told || s == core.Withdrawn && !job.AskedStop {
+	over := before.told == core.JobDone || before.told == core.JobCancelled
+	if over && s != before.told || s == core.JobCancelled && !job.CancelRequested {
 		r.broken("went_back", "%s was %d and is called %d", id, job.Told, s)
 	}
-	if s == core.Complete && len(job.Finished) < job.Spec.Tasks {
+	if s == core.JobDone && len(job.Finished) < job.Spec.Tasks {
 		r.broken("not_done", "%s has %d of %d tasks done", id, len(job.Finished), job.Spec.Tasks)
 	}
-	if s == core.Withdrawn && job.Cancelled == 0 && job.Told != core.Withdrawn {
+	if s == core.JobCancelled && job.Cancelled == 0 && job.Told != core.JobCancelled {
 		job.Cancelled = r.w.Now
 	}
-	if s == core.Complete && job.ToldDone == 0 {
+	if s == core.JobDone && job.ToldDone == 0 {
 		job.ToldDone = r.w.Now
 	}
-	if !over && (s == core.Complete || s == core.Withdrawn || !job.Over()) {
+	if !over && (s == core.JobDone || s == core.JobCancelled || !job.Over()) {
 		job.Told = s
 	}
 }
 
 // user asks a node and tells the referee what came back.
-func (w *World) user(n *Node, id string, request func(req uint64) any, then func(status int)) {
+func (w *World) user(node *Node, id string, request func(req uint64) any, then func(status int)) {
 	before := w.Referee.known(id)
-	w.rpc("users", n.Name, 5*time.Second, core.Reply{}, func(answer func(any)) {
-		if !n.up {
-			answer(core.Reply{})
+	w.rpc("users", node.Name, 5*time.Second, core.UserReply{}, func(answer func(any)) {
+		if !node.up {
+			answer(core.UserReply{})
 			return
 		}
-		n.ask(request, answer)
+		node.ask(request, answer)
 	}, func(v any) {
-		rep, _ := v.(core.Reply)
-		w.Referee.told(id, rep.Status, rep.Run.Standing, before)
+		rep, _ := v.(core.UserReply)
+		w.Referee.told(id, rep.Status, rep.Job.State, before)
 		if job := w.Jobs[id]; job != nil {
-			if job.Told == core.Withdrawn && before.told != core.Withdrawn {
-				w.moment(Moment{Withdraw, After, n, nil, job})
+			if job.Told == core.JobCancelled && before.told != core.JobCancelled {
+				w.moment(Moment{CancelJob, After, node, nil, job})
 			}
 			w.noticed(job)
 		}
@@ -307,7 +307,7 @@
 
 // Submit has a user submit a job, again and again until it is taken, and poll
 // it until it is over.
-func (w *World) Submit(spec core.Spec, run time.Duration) *Job {
+func (w *World) Submit(spec core.JobSpec, run time.Duration) *Job {
 	job := &Job{Spec: spec, Run: run}
 	w.submit(job)
 	return job
@@ -319,7 +319,7 @@
 	w.Jobs[spec.ID] = job
 	var try func()
 	try = func() {
-		w.user(w.anyNode(), spec.ID, func(req uint64) any { return core.Submit{Req: req, Spec: spec} }, func(status int) {
+		w.user(w.anyNode(), spec.ID, func(req uint64) any { return core.JobSubmission{RequestID: req, Spec: spec} }, func(status int) {
 			switch status {
 			case 200, 201:
 				w.poll(job)
@@ -343,25 +343,25 @@
 }
 
 func (w *World) poll(job *Job) {
-	w.user(w.anyNode(), job.Spec.ID, func(req uint64) any { return core.Poll{Req: req, ID: job.Spec.ID} }, func(int) {
-		if job.Told != core.Complete && job.Told != core.Withdrawn {
+	w.user(w.anyNode(), job.Spec.ID, func(req uint64) any { return core.JobQuery{RequestID: req, ID: job.Spec.ID} }, func(int) {
+		if job.Told != core.JobDone && job.Told != core.JobCancelled {
 			w.After(2*time.Second, func() { w.poll(job) })
 		}
 	})
 }
 
-// Stop has the job's user cancel it, repeated until it is answered.
-func (w *World) Stop(job *Job) {
-	job.AskedStop = true
-	w.user(w.anyNode(), job.Spec.ID, func(req uint64) any { return core.Withdraw{Req: req, ID: job.Spec.ID} }, func(status int) {
+// Cancel has the job's user cancel it, repeated until it is answered.
+func (w *World) Cancel(job *Job) {
+	job.CancelRequested = true
+	w.user(w.anyNode(), job.Spec.ID, func(req uint64) any { return core.JobCancellation{RequestID: req, ID: job.Spec.ID} }, func(status int) {
 		if status != 200 && status != 404 {
-			w.After(time.Second, func() { w.Stop(job) })
+			w.After(time.Second, func() { w.Cancel(job) })
 		}
 	})
 }
 
 // Over says whether the job's user has been told that it has ended.
-func (j *Job) Over() bool { return j.Told == core.Complete || j.Told == core.Withdrawn }
+func (j *Job) Over() bool { return j.Told == core.JobDone || j.Told == core.JobCancelled }
 
 // On lists where a job's tasks run.
 func (w *World) On(id string) map[*Worker]int {
--- a/internal/fake/script.go
+++ b/internal/fake/script.go
@@ -14,10 +14,10 @@
 // The same script always gives the same verdict. Times are in seconds from the day's
 // start. As text it is JSON.
 type Script struct {
-	Seed  uint64    `json:"seed,omitempty"`
-	World Setting   `json:"world"`
-	Jobs  []Request `json:"jobs"`
-	Steps []Strike  `json:"steps,omitempty"`
+	Seed  uint64          `json:"seed,omitempty"`
+	World Setting         `json:"world"`
+	Jobs  []Request       `json:"jobs"`
+	Steps []InjectedFault `json:"steps,omitempty"`
 }
 
 // Setting is what a script's world is like; what is left out is as in Settings.
@@ -31,33 +31,33 @@
 	Boot        [2]float64         `json:"boot,omitempty"`        // fastest and slowest; none: by type
 	Keep        int                `json:"keep,omitempty"`        // changes that the store keeps
 	// Until when the following goes on, and for which share of calls or machines.
-	Noise    float64 `json:"noise,omitempty"`
-	Lost     float64 `json:"lost,omitempty"`      // transactions without answer, carried out up to 8 s later
-	Slow     float64 `json:"slow,omitempty"`      // seconds that a transaction takes
-	Copies   float64 `json:"copies,omitempty"`    // reports of which a copy comes up to 40 s later
-	Again    float64 `json:"again,omitempty"`     // requests carried out again up to 20 s later
-	LateHire float64 `json:"late_hire,omitempty"` // rentals without answer, carried out up to 20 s later
-	NeverUp  float64 `json:"never_up,omitempty"`  // machines that never come up
+	Noise      float64 `json:"noise,omitempty"`
+	Lost       float64 `json:"lost,omitempty"`      // transactions without answer, carried out up to 8 s later
+	Slow       float64 `json:"slow,omitempty"`      // seconds that a transaction takes
+	Copies     float64 `json:"copies,omitempty"`    // reports of which a copy comes up to 40 s later
+	Repeated   float64 `json:"again,omitempty"`     // requests carried out again up to 20 s later
+	LateRental float64 `json:"late_hire,omitempty"` // rentals without answer, carried out up to 20 s later
+	NeverUp    float64 `json:"never_up,omitempty"`  // machines that never come up
 }
 
 // Request is a job that a user submits, and perhaps cancels.
 type Request struct {
-	At     float64   `json:"at"`
-	ID     string    `json:"id"`
-	Spec   core.Spec `json:"spec"`
-	Run    float64   `json:"run"`              // true run time of each task
-	Cancel float64   `json:"cancel,omitempty"` // seconds after the submission; 0: never
-	Broken bool      `json:"broken,omitempty"`
+	At     float64      `json:"at"`
+	ID     string       `json:"id"`
+	Spec   core.JobSpec `json:"spec"`
+	Run    float64      `json:"run"`              // true run time of each task
+	Cancel float64      `json:"cancel,omitempty"` // seconds after the submission; 0: never
+	Broken bool         `json:"broken,omitempty"`
 }
 
-// Strike is a trouble, and when and whom it strikes: at a time, or at a phase of the Nth
+// InjectedFault is a trouble, and when and whom it strikes: at a time, or at a phase of the Nth
 // occurrence of a step.
-type Strike struct {
+type InjectedFault struct {
 	At      float64 `json:"at,omitempty"`
 	Step    Step    `json:"step,omitempty"`
 	Phase   Phase   `json:"phase,omitempty"`
 	N       int     `json:"n,omitempty"`
-	Trouble string  `json:"trouble"`
+	Fault   string  `json:"trouble"`
 	Delay   float64 `json:"delay,omitempty"` // after the moment
 	For     float64 `json:"for,omitempty"`
 	Node    string  `json:"node,omitempty"`    // a name, "other", or none for whom the moment concerns
@@ -94,8 +94,8 @@
 		seen[j.ID] = true
 	}
 	for i, x := range s.Steps {
-		if _, ok := TroubleNamed(x.Trouble); !ok {
-			return fmt.Errorf("script: step %d: unknown trouble %q", i, x.Trouble)
+		if _, ok := FaultNamed(x.Fault); !ok {
+			return fmt.Errorf("script: step %d: unknown trouble %q", i, x.Fault)
 		}
 		if x.Step != "" && (!slices.Contains(Steps, x.Step) || !slices.Contains(Phases, x.Phase) || x.N < 1) {
 			return fmt.Errorf("script: step %d: no such moment: %s %q, occurrence %d", i, x.Phase, x.Step, x.N)
@@ -113,7 +113,7 @@
 		cfg.Teams = s.Teams
 	}
 	if s.ValueBytes > 0 {
-		cfg.ValueBytes = s.ValueBytes
+		cfg.MaxValueBytes = s.ValueBytes
 	}
 	return cfg
 }
@@ -130,7 +130,7 @@
 	happens := func(share float64) bool { return w.Now < noise && share > 0 && w.Rng.Float64() < share }
 	upTo := func(d time.Duration) time.Duration { return time.Duration(w.Rng.Float64() * float64(d)) }
 	if noise > 0 {
-		w.trouble(noise)
+		w.extendFaults(noise)
 		w.Store.slowFor(seconds(set.Slow), noise)
 	}
 	w.Store.Keep = set.Keep
@@ -141,14 +141,14 @@
 		}
 		return []time.Duration{time.Second + upTo(40*time.Second)}
 	}
-	w.Again = func(string, any) time.Duration {
-		if !happens(set.Again) {
+	w.RepeatRequest = func(string, any) time.Duration {
+		if !happens(set.Repeated) {
 			return 0
 		}
 		return time.Millisecond + upTo(20*time.Second)
 	}
-	w.Cloud.LateHire = func(core.HireOp) time.Duration {
-		if !happens(set.LateHire) {
+	w.Cloud.LateRental = func(core.RentHosts) time.Duration {
+		if !happens(set.LateRental) {
 			return 0
 		}
 		return time.Second + upTo(20*time.Second)
--- a/internal/fake/script_test.go
+++ b/internal/fake/script_test.go
@@ -42,12 +42,12 @@
 
 func TestAFailingScriptShrinksToWhatBreaksTheRule(t *testing.T) {
 	s := RandomDay(3)
-	s.Steps = append(s.Steps, Strike{At: 30, Trouble: "freeze", For: 12, Node: "node-1"})
+	s.Steps = append(s.Steps, InjectedFault{At: 30, Fault: "freeze", For: 12, Node: "node-1"})
 	// Stands for a fault that needs one job of several tasks and a long standstill.
 	play := func(s Script) (v Verdict) {
 		for _, j := range s.Jobs {
 			for _, x := range s.Steps {
-				if j.ID == "job-7" && j.Spec.Tasks >= 1 && x.Trouble == "freeze" && x.For >= 5 && x.Node == "node-1" {
+				if j.ID == "job-7" && j.Spec.Tasks >= 1 && x.Fault == "freeze" && x.For >= 5 && x.Node == "node-1" {
 					v.Broken = []string{"31s ran_twice: {job-7 0} starts on vm-1"}
 				}
 			}
--- a/internal/fake/services.go
+++ b/internal/fake/services.go
@@ -12,13 +12,13 @@
 
 // Store is the state service.
 type Store struct {
-	w       *World
-	rows    map[string]row
-	ledger  uint64
-	history []core.Item
-	leases  map[uint64]*lease
-	nextID  uint64
-	waits   []*watch
+	w        *World
+	rows     map[string]row
+	revision uint64
+	history  []core.Item
+	leases   map[uint64]*lease
+	nextID   uint64
+	watches  []*openWatch
 
 	// RPS, if set, is how many requests a second it takes from all controllers;
 	// each keeps to its share, as the real client does.
@@ -39,15 +39,15 @@
 	Lose func(node string, t core.Txn) (lost bool, late time.Duration)
 	// SlowRead, if set, says how much later than usual a read is carried out.
 	SlowRead func(node, key string) time.Duration
-	// Carried are told of each transaction that was carried out or refused.
-	Carried []func(node string, t core.Txn, res core.CommitResult)
-	late    lateWrites
+	// OnExecuted are told of each transaction that was carried out or refused.
+	OnExecuted []func(node string, t core.Txn, res core.CommitResult)
+	late       lateWrites
 }
 
 type row struct {
-	value []byte
-	stamp uint64
-	lease uint64
+	value    []byte
+	revision uint64
+	lease    uint64
 }
 
 type lease struct {
@@ -55,9 +55,9 @@
 	ends time.Duration
 }
 
-type watch struct {
+type openWatch struct {
 	node   string
-	op     core.FollowOp
+	op     core.WatchKeys
 	ends   time.Duration
 	answer func(any)
 }
@@ -77,7 +77,7 @@
 // Outage refuses everybody for a while; then every lease has its full time.
 func (s *Store) Outage(d time.Duration) {
 	s.w.Log("%v state outage for %v", s.w.Now, d)
-	s.w.trouble(d)
+	s.w.extendFaults(d)
 	s.down = max(s.down, s.w.Now+d)
 	s.w.After(s.down-s.w.Now, func() {
 		for _, l := range s.leases {
@@ -89,7 +89,7 @@
 // Refuse refuses one controller for a while.
 func (s *Store) Refuse(node string, d time.Duration) {
 	s.w.Log("%v state refuses %s for %v", s.w.Now, node, d)
-	s.w.trouble(d)
+	s.w.extendFaults(d)
 	s.refused[node] = s.w.Now + d
 }
 
@@ -116,7 +116,7 @@
 		}
 		sort.Strings(keys)
 		if len(keys) > 0 {
-			s.ledger++
+			s.revision++
 			for _, k := range keys {
 				s.change(k, nil, 0)
 			}
@@ -128,29 +128,29 @@
 	if value == nil {
 		delete(s.rows, key)
 	} else {
-		s.rows[key] = row{value, s.ledger, lease}
+		s.rows[key] = row{value, s.revision, lease}
 	}
-	s.history = append(s.history, core.Item{Key: key, Value: value, Stamp: s.ledger})
+	s.history = append(s.history, core.Item{Key: key, Value: value, Revision: s.revision})
 	if n := len(s.history); s.Keep > 0 && n > s.Keep {
-		s.lost = s.history[n-s.Keep-1].Stamp
+		s.lost = s.history[n-s.Keep-1].Revision
 		s.history = s.history[n-s.Keep:]
 	}
 }
 
 // serve answers open watches that have something to say.
 func (s *Store) serve() {
-	var left []*watch
-	for _, x := range s.waits {
+	var left []*openWatch
+	for _, x := range s.watches {
 		if s.away(x.node) {
 			left = append(left, x)
 			continue
 		}
-		if x.op.After < s.lost {
-			x.answer(core.FollowResult{Outcome: core.Refused})
+		if x.op.AfterRevision < s.lost {
+			x.answer(core.WatchResult{Outcome: core.OutcomeRefused})
 			continue
 		}
 		var news []core.Item
-		from := sort.Search(len(s.history), func(i int) bool { return s.history[i].Stamp > x.op.After })
+		from := sort.Search(len(s.history), func(i int) bool { return s.history[i].Revision > x.op.AfterRevision })
 		for _, h := range s.history[from:] {
 			if strings.HasPrefix(h.Key, x.op.Prefix) {
 				news = append(news, h)
@@ -160,30 +160,30 @@
 			left = append(left, x)
 			continue
 		}
-		x.answer(core.FollowResult{Outcome: core.OK, Ledger: s.ledger, News: news})
+		x.answer(core.WatchResult{Outcome: core.OutcomeOK, Revision: s.revision, Changes: news})
 	}
-	s.waits = left
+	s.watches = left
 }
 
 func (s *Store) commit(node string, t core.Txn, answer func(any)) {
 	if s.away(node) {
-		answer(core.CommitResult{Outcome: core.NotSent})
+		answer(core.CommitResult{Outcome: core.OutcomeNotSent})
 		return
 	}
 	if lost, late := s.loses(node, t); lost {
 		s.w.After(late, func() {
 			if !s.away(node) {
-				s.carry(node, t)
+				s.execute(node, t)
 			}
 		})
 		return
 	}
-	answer(s.carry(node, t))
+	answer(s.execute(node, t))
 }
 
-func (s *Store) carry(node string, t core.Txn) core.CommitResult {
+func (s *Store) execute(node string, t core.Txn) core.CommitResult {
 	res := s.apply(t)
-	for _, f := range s.Carried {
+	for _, f := range s.OnExecuted {
 		f(node, t, res)
 	}
 	return res
@@ -200,36 +200,36 @@
 }
 
 func (s *Store) apply(t core.Txn) core.CommitResult {
-	if len(t.Apply) > s.w.Cfg.TxnOps || len(t.Guards) > 4*s.w.Cfg.TxnOps {
-		panic(fmt.Sprintf("transaction over the limit: %d changes, %d guards", len(t.Apply), len(t.Guards)))
+	if len(t.Mutations) > s.w.Cfg.MaxTxnOps || len(t.Conditions) > 4*s.w.Cfg.MaxTxnOps {
+		panic(fmt.Sprintf("transaction over the limit: %d changes, %d guards", len(t.Mutations), len(t.Conditions)))
 	}
 	s.expire()
-	for _, a := range t.Apply {
-		if len(a.Value) > s.w.Cfg.ValueBytes {
+	for _, a := range t.Mutations {
+		if len(a.Value) > s.w.Cfg.MaxValueBytes {
 			panic("value over the limit: " + a.Key)
 		}
 		if a.Lease != 0 && s.leases[a.Lease] == nil {
-			return core.CommitResult{Outcome: core.Refused, NoLease: true}
+			return core.CommitResult{Outcome: core.OutcomeRefused, LeaseExpired: true}
 		}
 	}
 	var failed []string
-	for _, g := range t.Guards {
-		if s.rows[g.Key].stamp != g.Stamp {
+	for _, g := range t.Conditions {
+		if s.rows[g.Key].revision != g.Revision {
 			failed = append(failed, g.Key)
 		}
 	}
 	if len(failed) > 0 {
-		return core.CommitResult{Outcome: core.Refused, Failed: failed}
+		return core.CommitResult{Outcome: core.OutcomeRefused, FailedKeys: failed}
 	}
-	s.ledger++
-	for _, a := range t.Apply {
+	s.revision++
+	for _, a := range t.Mutations {
 		s.change(a.Key, a.Value, a.Lease)
 		if strings.HasPrefix(a.Key, "quota/") {
-			s.w.Log("%v store %s %s @%d", s.w.Now, a.Key, a.Value, s.ledger)
+			s.w.Log("%v store %s %s @%d", s.w.Now, a.Key, a.Value, s.revision)
 		}
 	}
 	s.serve()
-	return core.CommitResult{Outcome: core.OK, Revision: s.ledger}
+	return core.CommitResult{Outcome: core.OutcomeOK, Revision: s.revision}
 }
 
 func (s *Store) read(node, key string, answer func(any)) {
@@ -244,61 +244,61 @@
 
 func (s *Store) readNow(node, key string, answer func(any)) {
 	if s.away(node) {
-		answer(core.ReadResult{Outcome: core.NotSent})
+		answer(core.ReadResult{Outcome: core.OutcomeNotSent})
 		return
 	}
 	s.expire()
 	r, ok := s.rows[key]
-	answer(core.ReadResult{Outcome: core.OK, Found: ok, Item: core.Item{Key: key, Value: r.value, Stamp: r.stamp}})
+	answer(core.ReadResult{Outcome: core.OutcomeOK, Found: ok, Item: core.Item{Key: key, Value: r.value, Revision: r.revision}})
 }
 
 func (s *Store) list(node, prefix string, answer func(any)) {
 	if s.away(node) {
-		answer(core.ListResult{Outcome: core.NotSent})
+		answer(core.ListResult{Outcome: core.OutcomeNotSent})
 		return
 	}
 	s.expire()
-	res := core.ListResult{Outcome: core.OK, Ledger: s.ledger}
+	res := core.ListResult{Outcome: core.OutcomeOK, Revision: s.revision}
 	for k, r := range s.rows {
 		if strings.HasPrefix(k, prefix) {
-			res.Items = append(res.Items, core.Item{Key: k, Value: r.value, Stamp: r.stamp})
+			res.Items = append(res.Items, core.Item{Key: k, Value: r.value, Revision: r.revision})
 		}
 	}
 	sort.Slice(res.Items, func(i, j int) bool { return res.Items[i].Key < res.Items[j].Key })
 	answer(res)
 }
 
-func (s *Store) follow(node string, op core.FollowOp, answer func(any)) {
+func (s *Store) watch(node string, op core.WatchKeys, answer func(any)) {
 	if s.away(node) {
-		answer(core.FollowResult{Outcome: core.NotSent})
+		answer(core.WatchResult{Outcome: core.OutcomeNotSent})
 		return
 	}
-	s.waits = append(s.waits, &watch{node, op, s.w.Now + op.Wait, answer})
+	s.watches = append(s.watches, &openWatch{node, op, s.w.Now + op.Timeout, answer})
 }
 
-func (s *Store) hold(node string, life time.Duration, answer func(any)) {
+func (s *Store) grantLease(node string, life time.Duration, answer func(any)) {
 	if s.away(node) {
-		answer(core.HoldResult{Outcome: core.NotSent})
+		answer(core.LeaseResult{Outcome: core.OutcomeNotSent})
 		return
 	}
 	s.nextID++
 	s.leases[s.nextID] = &lease{life, s.w.Now + life}
-	answer(core.HoldResult{Outcome: core.OK, Lease: s.nextID})
+	answer(core.LeaseResult{Outcome: core.OutcomeOK, Lease: s.nextID})
 }
 
-func (s *Store) renew(node string, id uint64, answer func(any)) {
+func (s *Store) renewLease(node string, id uint64, answer func(any)) {
 	if s.away(node) {
-		answer(core.RenewResult{Outcome: core.NotSent})
+		answer(core.RenewResult{Outcome: core.OutcomeNotSent})
 		return
 	}
 	s.expire()
 	l := s.leases[id]
 	if l == nil {
-		answer(core.RenewResult{Outcome: core.Refused})
+		answer(core.RenewResult{Outcome: core.OutcomeRefused})
 		return
 	}
 	l.ends = s.w.Now + l.life
-	answer(core.RenewResult{Outcome: core.OK})
+	answer(core.RenewResult{Outcome: core.OutcomeOK})
 }
 
 // Cloud rents machines.
@@ -309,8 +309,8 @@
 	down    time.Duration
 	granted map[string][]string
 	next    int
-	// LateHire, if set, delays a rental and loses its answer.
-	LateHire func(op core.HireOp) time.Duration
+	// LateRental, if set, delays a rental and loses its answer.
+	LateRental func(op core.RentHosts) time.Duration
 	// BootS, if set, gives each machine's boot time; negative: never up.
 	BootS func(name string) float64
 }
@@ -318,8 +318,8 @@
 func newCloud(w *World) *Cloud {
 	c := &Cloud{w: w, granted: map[string][]string{}, Room: map[string]int{},
 		Types: []core.MachineType{
-			{Name: "small", Total: core.Amount{Cores: 4, Mem: 16}, CacheGB: 40, GBPerS: 0.5, Price: 0.4, SpotPrice: 0.15, BootS: 8, Zones: w.Cfg.Zones},
-			{Name: "large", Total: core.Amount{Cores: 16, Mem: 64}, CacheGB: 40, GBPerS: 0.5, Price: 1.2, SpotPrice: 0.4, BootS: 10, Zones: w.Cfg.Zones},
+			{Name: "small", Capacity: core.Resources{Cores: 4, MemoryGB: 16}, CacheGB: 40, FetchGBPerSecond: 0.5, Price: 0.4, SpotPrice: 0.15, BootSeconds: 8, Zones: w.Cfg.Zones},
+			{Name: "large", Capacity: core.Resources{Cores: 16, MemoryGB: 64}, CacheGB: 40, FetchGBPerSecond: 0.5, Price: 1.2, SpotPrice: 0.4, BootSeconds: 10, Zones: w.Cfg.Zones},
 		}}
 	for _, t := range c.Types {
 		for _, z := range w.Cfg.Zones {
@@ -333,7 +333,7 @@
 
 // Outage refuses all calls for a while.
 func (c *Cloud) Outage(d time.Duration) {
-	c.w.trouble(d)
+	c.w.extendFaults(d)
 	c.down = c.w.Now + d
 }
 
@@ -341,19 +341,19 @@
 
 func (c *Cloud) catalog(answer func(any)) {
 	if c.away() {
-		answer(core.CatalogResult{Outcome: core.NotSent})
+		answer(core.CatalogResult{Outcome: core.OutcomeNotSent})
 		return
 	}
-	answer(core.CatalogResult{Outcome: core.OK, Types: c.Types})
+	answer(core.CatalogResult{Outcome: core.OutcomeOK, Types: c.Types})
 }
 
-func (c *Cloud) hire(op core.HireOp, answer func(any)) {
+func (c *Cloud) handleRent(op core.RentHosts, answer func(any)) {
 	if c.away() {
-		answer(core.HireResult{Outcome: core.NotSent})
+		answer(core.RentResult{Outcome: core.OutcomeNotSent})
 		return
 	}
-	if c.LateHire != nil {
-		if d := c.LateHire(op); d > 0 {
+	if c.LateRental != nil {
+		if d := c.LateRental(op); d > 0 {
 			c.w.After(d, func() { c.rent(op) })
 			return
 		}
@@ -361,14 +361,14 @@
 	answer(c.rent(op))
 }
 
-func (c *Cloud) rent(op core.HireOp) core.HireResult {
+func (c *Cloud) rent(op core.RentHosts) core.RentResult {
 	if names, again := c.granted[op.Name]; again {
-		return core.HireResult{Outcome: core.OK, Hosts: names}
+		return core.RentResult{Outcome: core.OutcomeOK, Hosts: names}
 	}
 	k := roomKey(op.Type, op.Zone, op.Spot)
-	n := min(op.Number, c.Room[k])
+	n := min(op.Count, c.Room[k])
 	if n <= 0 {
-		return core.HireResult{Outcome: core.Refused}
+		return core.RentResult{Outcome: core.OutcomeRefused}
 	}
 	c.Room[k] -= n
 	var names []string
@@ -376,32 +376,32 @@
 		names = append(names, c.add(op.Type, op.Zone, op.Spot))
 	}
 	c.granted[op.Name] = names
-	return core.HireResult{Outcome: core.OK, Hosts: names}
+	return core.RentResult{Outcome: core.OutcomeOK, Hosts: names}
 }
 
 func (c *Cloud) add(typ, zone string, spot bool) string {
 	name := fmt.Sprintf("vm-%06d", c.next)
 	c.next++
-	k := newWorker(c.w, name, typ, zone, spot)
-	c.w.Workers[name] = k
+	worker := newWorker(c.w, name, typ, zone, spot)
+	c.w.Workers[name] = worker
 	var boot float64
 	for _, t := range c.Types {
 		if t.Name == typ {
-			boot = t.BootS * (0.6 + 0.9*c.w.Rng.Float64())
+			boot = t.BootSeconds * (0.6 + 0.9*c.w.Rng.Float64())
 		}
 	}
 	if c.BootS != nil {
 		boot = c.BootS(name)
 	}
 	if boot >= 0 {
-		c.w.After(time.Duration(boot*float64(time.Second)), k.boot)
+		c.w.After(time.Duration(boot*float64(time.Second)), worker.boot)
 	}
 	return name
 }
 
-func (c *Cloud) giveBack(names []string, answer func(any)) {
+func (c *Cloud) handleReturn(names []string, answer func(any)) {
 	if c.away() {
-		answer(core.ReturnResult{Outcome: core.NotSent})
+		answer(core.ReturnResult{Outcome: core.OutcomeNotSent})
 		return
 	}
 	for _, n := range names {
@@ -409,43 +409,43 @@
 			c.Take(n)
 		}
 	}
-	answer(core.ReturnResult{Outcome: core.OK})
+	answer(core.ReturnResult{Outcome: core.OutcomeOK})
 }
 
 // Take removes a machine.
 func (c *Cloud) Take(name string) {
-	k := c.w.Workers[name]
-	if k == nil || k.deleted {
+	worker := c.w.Workers[name]
+	if worker == nil || worker.deleted {
 		return
 	}
-	k.deleted = true
-	k.Die()
-	c.Room[roomKey(k.typ, k.zone, k.spot)]++
+	worker.deleted = true
+	worker.Die()
+	c.Room[roomKey(worker.typ, worker.zone, worker.spot)]++
 }
 
 func (c *Cloud) list(answer func(any)) {
 	if c.away() {
-		answer(core.HostsResult{Outcome: core.NotSent})
+		answer(core.HostsResult{Outcome: core.OutcomeNotSent})
 		return
 	}
-	res := core.HostsResult{Outcome: core.OK}
+	res := core.HostsResult{Outcome: core.OutcomeOK}
 	lag := c.w.Cfg.ListLag
-	for _, k := range c.w.Workers {
-		if k.born > c.w.Now-lag || k.deleted && k.diedAt < c.w.Now-lag {
+	for _, worker := range c.w.Workers {
+		if worker.born > c.w.Now-lag || worker.deleted && worker.diedAt < c.w.Now-lag {
 			continue
 		}
 		state := "running"
-		if !k.started {
+		if !worker.started {
 			state = "booting"
-		} else if k.gone && k.diedAt < c.w.Now-30*time.Second {
+		} else if worker.gone && worker.diedAt < c.w.Now-30*time.Second {
 			state = "failed"
 		}
 		addr := ""
-		if k.started {
-			addr = k.name
+		if worker.started {
+			addr = worker.name
 		}
-		res.Hosts = append(res.Hosts, core.Listed{Name: k.name, Addr: addr, Type: k.typ, Zone: k.zone, Spot: k.spot,
-			State: state, HeldS: (c.w.Now - k.born).Seconds()})
+		res.Hosts = append(res.Hosts, core.ListedHost{Name: worker.name, Address: addr, Type: worker.typ, Zone: worker.zone, Spot: worker.spot,
+			State: state, RentedSeconds: (c.w.Now - worker.born).Seconds()})
 	}
 	sort.Slice(res.Hosts, func(i, j int) bool { return res.Hosts[i].Name < res.Hosts[j].Name })
 	answer(res)
--- a/internal/fake/shrink.go
+++ b/internal/fake/shrink.go
@@ -24,7 +24,7 @@
 	}
 	for size := -1; size != s.size() && played < most; {
 		size = s.size()
-		s.Steps = shorten(s.Steps, func(x []Strike) bool { t := s; t.Steps = x; return breaks(t) })
+		s.Steps = shorten(s.Steps, func(x []InjectedFault) bool { t := s; t.Steps = x; return breaks(t) })
 		s.Jobs = shorten(s.Jobs, func(x []Request) bool { t := s; t.Jobs = x; return breaks(t) })
 		for _, simpler := range simplifications(s) {
 			t := s.clone()
@@ -66,8 +66,8 @@
 		func(t *Script) { t.World.Lost = 0 },
 		func(t *Script) { t.World.Slow = 0 },
 		func(t *Script) { t.World.Copies = 0 },
-		func(t *Script) { t.World.Again = 0 },
-		func(t *Script) { t.World.LateHire = 0 },
+		func(t *Script) { t.World.Repeated = 0 },
+		func(t *Script) { t.World.LateRental = 0 },
 		func(t *Script) { t.World.NeverUp = 0 },
 		func(t *Script) { t.World.Keep = 0 },
 		func(t *Script) { t.World.ValueBytes = 0 },
@@ -83,9 +83,9 @@
 			func(t *Script) { t.Jobs[i].Cancel = 0 },
 			func(t *Script) { t.Jobs[i].Spec.Tasks = 1 },
 			func(t *Script) { t.Jobs[i].Spec.Tasks = (t.Jobs[i].Spec.Tasks + 1) / 2 },
-			func(t *Script) { t.Jobs[i].Spec.Checkpoint, t.Jobs[i].Spec.Save = 0, 0 },
+			func(t *Script) { t.Jobs[i].Spec.CheckpointSeconds, t.Jobs[i].Spec.SaveSeconds = 0, 0 },
 			func(t *Script) {
-				t.Jobs[i].Spec.OneZone, t.Jobs[i].Spec.Apart, t.Jobs[i].Spec.Gang = false, false, false
+				t.Jobs[i].Spec.OneZone, t.Jobs[i].Spec.SpreadZones, t.Jobs[i].Spec.Gang = false, false, false
 			},
 			func(t *Script) { t.Jobs[i].Spec.Types, t.Jobs[i].Spec.Zone = nil, "" })
 	}
--- a/internal/fake/size_test.go
+++ b/internal/fake/size_test.go
@@ -30,7 +30,7 @@
 					n++
 					s := spec(fmt.Sprintf("job-%d", n), []string{"red", "blue"}[n%2], 10+w.Rng.IntN(30), float64(2+2*(n%2)))
 					s.Image, s.ImageGB = fmt.Sprintf("img-%d", w.Rng.IntN(30)), 1
-					s.Estimate = 25
+					s.EstimateSeconds = 25
 					if n%20 == 0 {
 						s.Tasks, s.Priority = 200, 2
 					}
@@ -52,9 +52,9 @@
 func grown(zones, machines int) *World {
 	cfg := Settings()
 	cfg.Zones = cfg.Zones[:zones]
-	cfg.Report, cfg.Lease, cfg.Cancel, cfg.ListLag = 6*time.Second, 36*time.Second, 66*time.Second, 6*time.Second
-	cfg.Teams[0].Limit, cfg.Teams[0].Guarantee = core.Amount{Cores: 10000}, core.Amount{Cores: 3000}
-	cfg.Teams[1].Limit, cfg.Teams[1].Guarantee = core.Amount{Cores: 6000}, core.Amount{Cores: 2000}
+	cfg.HeartbeatInterval, cfg.WorkerLease, cfg.CancelWithin, cfg.ListLag = 6*time.Second, 36*time.Second, 66*time.Second, 6*time.Second
+	cfg.Teams[0].Limit, cfg.Teams[0].Guarantee = core.Resources{Cores: 10000}, core.Resources{Cores: 3000}
+	cfg.Teams[1].Limit, cfg.Teams[1].Guarantee = core.Resources{Cores: 6000}, core.Resources{Cores: 2000}
 	w := New(1, cfg)
 	for k := range w.Cloud.Room {
 		w.Cloud.Room[k] = machines / len(w.Cloud.Room)
@@ -69,15 +69,15 @@
 	var jobs []*Job
 	for i := range 24 {
 		s := spec(fmt.Sprintf("job-%d", i), []string{"red", "blue"}[i%2], 60, 4)
-		s.Estimate = 25
+		s.EstimateSeconds = 25
 		jobs = append(jobs, w.Submit(s, time.Duration(15+i)*time.Second))
 	}
 	require.True(t, w.Until(40*time.Second, func() bool { return w.Referee.Starts > 600 }))
-	for _, n := range w.Nodes[1:] { // the zone of the first controller, held back and then all at once
+	for _, node := range w.Nodes[1:] { // the zone of the first controller, held back and then all at once
 		for _, name := range workersOf(w, "a") {
-			w.Cut(n.Name, name, 25*time.Second, true)
+			w.Cut(node.Name, name, 25*time.Second, true)
 		}
-		w.Cut("node-0", n.Name, 25*time.Second, true)
+		w.Cut("node-0", node.Name, 25*time.Second, true)
 	}
 	w.Cut("node-0", "state", 25*time.Second, true)
 	w.Run(2 * time.Second)
@@ -85,7 +85,7 @@
 		n.Restart(time.Duration(50+400*i) * time.Millisecond)
 	}
 	w.Run(20 * time.Second)
-	w.Nodes[1].Freeze(w.Cfg.Lease + 5*time.Second)
+	w.Nodes[1].Freeze(w.Cfg.WorkerLease + 5*time.Second)
 	w.Run(2 * time.Second)
 	w.Nodes[2].Restart(80 * time.Millisecond) // one owner of everything
 	for _, j := range jobs {
--- a/internal/fake/standstill_test.go
+++ b/internal/fake/standstill_test.go
@@ -16,7 +16,7 @@
 	// Its clock ran on: every machine seemed silent for longer than any lease and
 	// every idle one long idle, and it gave all of another owner's machines back.
 	cfg := Settings()
-	cfg.Lease, cfg.Cancel = 36*time.Second, 66*time.Second
+	cfg.WorkerLease, cfg.CancelWithin = 36*time.Second, 66*time.Second
 	w := New(43, cfg)
 	t.Cleanup(func() { assert.Empty(t, w.Referee.Broken, "rules") })
 	w.Run(3 * time.Second)
@@ -26,12 +26,12 @@
 	require.True(t, w.Until(40*time.Second, started(w, "job-1", 6)))
 	w.Run(5 * time.Second) // the others hear of it
 	starts := w.Referee.Starts
-	w.Nodes[0].Freeze(w.Cfg.Lease + 40*time.Second)
-	w.Run(w.Cfg.Lease + 39*time.Second)
+	w.Nodes[0].Freeze(w.Cfg.WorkerLease + 40*time.Second)
+	w.Run(w.Cfg.WorkerLease + 39*time.Second)
 	owner := 0
-	for i, n := range w.Nodes[1:] {
-		for _, p := range n.Core.Status().Parts {
-			if p.Zone == "a" && p.Here {
+	for i, node := range w.Nodes[1:] {
+		for _, p := range node.Core.Status().Shards {
+			if p.Zone == "a" && p.OwnedHere {
 				owner = i + 1
 			}
 		}
@@ -51,7 +51,7 @@
 	w := oneController(t, 44, nil)
 	job := w.Submit(spec("job-1", "red", 8, 4), 30*time.Second)
 	require.True(t, w.Until(60*time.Second, started(w, "job-1", 8)))
-	for _, d := range []time.Duration{4 * time.Second, w.Cfg.Lease / 2, w.Cfg.Lease + 8*time.Second, w.Cfg.Lease + 40*time.Second} {
+	for _, d := range []time.Duration{4 * time.Second, w.Cfg.WorkerLease / 2, w.Cfg.WorkerLease + 8*time.Second, w.Cfg.WorkerLease + 40*time.Second} {
 		before := returned(w)
 		w.Nodes[0].Freeze(d)
 		w.Run(d + 8*time.Second)
@@ -75,9 +75,9 @@
 	withdrawn := submit(1, 10*time.Minute)
 	submit(2, 20*time.Second)
 	require.True(t, w.Until(40*time.Second, started(w, "job-1", 4)))
-	for _, n := range w.Nodes {
-		w.Cut(n.Name, "state", 5*time.Second, false) // shorter than its lease
-		w.Cut("users", n.Name, time.Minute, false)
+	for _, node := range w.Nodes {
+		w.Cut(node.Name, "state", 5*time.Second, false) // shorter than its lease
+		w.Cut("users", node.Name, time.Minute, false)
 	}
 	// Somebody else changes keys; a controller that ended right after it had
 	// carried out the withdrawal is one such.
@@ -85,12 +85,12 @@
 	v := strings.Replace(string(r.value), "{", `{"st":"withdrawn",`, 1)
 	w.After(time.Second, func() {
 		r := w.Store.rows["job/job-1"]
-		w.Store.apply(core.Txn{Guards: []core.Guard{{Key: "job/job-1", Stamp: r.stamp}}, Apply: []core.Set{{Key: "job/job-1", Value: []byte(v)}}})
+		w.Store.apply(core.Txn{Conditions: []core.Condition{{Key: "job/job-1", Revision: r.revision}}, Mutations: []core.Mutation{{Key: "job/job-1", Value: []byte(v)}}})
 		for i := range 8 {
-			w.Store.apply(core.Txn{Apply: []core.Set{{Key: fmt.Sprintf("other/%d", i), Value: []byte("1")}}})
+			w.Store.apply(core.Txn{Mutations: []core.Mutation{{Key: fmt.Sprintf("other/%d", i), Value: []byte("1")}}})
 		}
 	})
-	withdrawn.Cancelled, withdrawn.AskedStop = w.Now+time.Second, true
+	withdrawn.Cancelled, withdrawn.CancelRequested = w.Now+time.Second, true
 	w.Run(6 * time.Second)
 	gone := func() bool { return len(w.On("job-1")) == 0 }
 	assert.True(t, w.Until(10*time.Second, gone), "what is withdrawn is stopped")
--- a/internal/fake/status_test.go
+++ b/internal/fake/status_test.go
@@ -14,15 +14,15 @@
 )
 
 // replicas is a service of n of them, spread over zones.
-func replicas(id string, n int) core.Spec {
+func replicas(id string, n int) core.JobSpec {
 	s := spec(id, "red", n, 2)
-	s.Service, s.Apart, s.Class, s.Estimate = true, true, "live", 0
+	s.Service, s.SpreadZones, s.Class, s.EstimateSeconds = true, true, "live", 0
 	return s
 }
 
 // queueOf is the row of the class that a controller shows with the longest wait.
-func queueOf(n *Node, class string) core.Queue {
-	for _, q := range n.Core.Status().Queues {
+func queueOf(node *Node, class string) core.Queue {
+	for _, q := range node.Core.Status().Queues {
 		if q.Class == class {
 			return q
 		}
@@ -31,8 +31,8 @@
 }
 
 // serviceOf is a controller's row of a service.
-func serviceOf(n *Node, id string) core.ServiceStatus {
-	for _, s := range n.Core.Status().Services {
+func serviceOf(node *Node, id string) core.ServiceStatus {
+	for _, s := range node.Core.Status().Services {
 		if s.Job == id {
 			return s
 		}
@@ -42,8 +42,8 @@
 
 // because says whether a controller gives the reason for a service's missing replicas.
 func because(s core.ServiceStatus, why core.Reason) bool {
-	for _, w := range s.Why {
-		if w.Why == why {
+	for _, w := range s.Reasons {
+		if w.Reason == why {
 			return true
 		}
 	}
@@ -60,37 +60,37 @@
 		zones[k.zone] = true
 	}
 	require.Greater(t, len(zones), 1, "it has replicas in parts of several owners")
-	for _, n := range w.Nodes {
-		s := serviceOf(n, "job-1")
-		assert.Equal(t, core.ServiceStatus{Job: "job-1", Class: "live", Team: "red", Wanted: 6, Tally: core.Tally{Up: 6}}, s, n.Name)
+	for _, node := range w.Nodes {
+		s := serviceOf(node, "job-1")
+		assert.Equal(t, core.ServiceStatus{Job: "job-1", Class: "live", Team: "red", Wanted: 6, TaskCounts: core.TaskCounts{Running: 6}}, s, node.Name)
 	}
 	replicas := 0
-	for _, n := range w.Nodes {
-		for _, q := range n.Core.Gauges().Replicas {
-			replicas += q.Up
+	for _, node := range w.Nodes {
+		for _, q := range node.Core.Gauges().Replicas {
+			replicas += q.Running
 		}
 	}
 	assert.Equal(t, 6, replicas, "summed over controllers, gauges count each once")
 	w.Cloud.Room = map[string]int{} // nothing more to be had
-	k := anyOn(w, "job-1")
+	worker := anyOn(w, "job-1")
 	for other := range w.Workers { // and no room elsewhere
-		if o := w.Workers[other]; !o.gone && o != k && o.zone == k.zone && w.On("job-1")[o] == 0 {
+		if o := w.Workers[other]; !o.gone && o != worker && o.zone == worker.zone && w.On("job-1")[o] == 0 {
 			o.Die()
 		}
 	}
-	lost := w.On("job-1")[k]
-	k.Die()
+	lost := w.On("job-1")[worker]
+	worker.Die()
 	seen := map[string]bool{}
 	require.True(t, w.Until(60*time.Second, func() bool {
-		for _, n := range w.Nodes {
-			s := serviceOf(n, "job-1")
-			if s.Up == 6-lost && s.Up+s.Starting+s.Fetching+s.Waiting+s.Unknown == 6 && s.MissingS > 0 && len(s.Why) > 0 {
-				seen[n.Name] = true
+		for _, node := range w.Nodes {
+			s := serviceOf(node, "job-1")
+			if s.Running == 6-lost && s.Running+s.Starting+s.Fetching+s.Waiting+s.Unaccounted == 6 && s.MissingSeconds > 0 && len(s.Reasons) > 0 {
+				seen[node.Name] = true
 			}
 		}
 		return len(seen) == len(w.Nodes)
 	}), "all of them show %d lost: %v", lost, seen)
-	w.Stop(service)
+	w.Cancel(service)
 	ends(t, w, service, 30*time.Second)
 	w.Run(2 * time.Second)
 	for _, n := range w.Nodes {
@@ -102,22 +102,22 @@
 	nothing := func(w *World) { w.Cloud.Room = map[string]int{} }
 	for _, c := range []struct {
 		why     core.Reason
-		trouble func(w *World, s *core.Spec)
+		trouble func(w *World, s *core.JobSpec)
 		atAll   bool // at every controller, not only at one
 	}{
-		{core.AtLimit, func(_ *World, s *core.Spec) { s.Tasks, s.Zone = 30, "a" }, true},
-		{core.NoCapacity, func(w *World, _ *core.Spec) { nothing(w) }, true},
-		{core.Booting, func(w *World, _ *core.Spec) { w.Cloud.BootS = func(string) float64 { return 20 } }, true},
-		{core.ImageFetch, func(_ *World, s *core.Spec) { s.ImageGB = 20 }, true},
-		{core.HeldBack, func(w *World, s *core.Spec) {
+		{core.ReasonAtLimit, func(_ *World, s *core.JobSpec) { s.Tasks, s.Zone = 30, "a" }, true},
+		{core.ReasonNoCapacity, func(w *World, _ *core.JobSpec) { nothing(w) }, true},
+		{core.ReasonBooting, func(w *World, _ *core.JobSpec) { w.Cloud.BootS = func(string) float64 { return 20 } }, true},
+		{core.ReasonImageFetch, func(_ *World, s *core.JobSpec) { s.ImageGB = 20 }, true},
+		{core.ReasonHeldBack, func(w *World, s *core.JobSpec) {
 			nothing(w)
 			s.Team, s.Priority = "guest", 3
 		}, true},
-		{core.StoreAway, func(w *World, _ *core.Spec) {
+		{core.ReasonStoreUnavailable, func(w *World, _ *core.JobSpec) {
 			nothing(w)
 			w.After(10*time.Second, func() { w.Store.Outage(20 * time.Second) })
 		}, true},
-		{core.InDoubt, func(_ *World, _ *core.Spec) {}, false},
+		{core.ReasonSuspectJob, func(_ *World, _ *core.JobSpec) {}, false},
 	} {
 		t.Run(c.why.Name(), func(t *testing.T) {
 			w := New(8302, guests(Settings()))
@@ -126,12 +126,12 @@
 			s := spec("job-1", "red", 6, 2)
 			c.trouble(w, &s)
 			job := w.Submit(s, 60*time.Second)
-			job.Broken = c.why == core.InDoubt
+			job.Broken = c.why == core.ReasonSuspectJob
 			told := map[string]core.Queue{}
 			w.Until(90*time.Second, func() bool {
-				for _, n := range w.Nodes {
-					if q := queueOf(n, "work"); q.Why == c.why && q.WaitS > 2 {
-						told[n.Name] = q
+				for _, node := range w.Nodes {
+					if q := queueOf(node, "work"); q.Reason == c.why && q.WaitSeconds > 2 {
+						told[node.Name] = q
 					}
 				}
 				return len(told) == len(w.Nodes)
@@ -157,9 +157,9 @@
 	last := w.Nodes[2]
 	require.True(t, w.Until(12*time.Second, func() bool {
 		s := serviceOf(last, "job-1")
-		return s.Unknown > 0 && s.Up+s.Unknown == 6 && (because(s, core.PartUnheard) || because(s, core.PartUnowned) || because(s, core.PartLoading))
+		return s.Unaccounted > 0 && s.Running+s.Unaccounted == 6 && (because(s, core.ReasonOwnerSilent) || because(s, core.ReasonShardUnowned) || because(s, core.ReasonShardLoading))
 	}), "%+v", serviceOf(last, "job-1"))
-	require.True(t, w.Until(40*time.Second, func() bool { return serviceOf(last, "job-1").Up == 6 }), "and are known again: %+v", serviceOf(last, "job-1"))
+	require.True(t, w.Until(40*time.Second, func() bool { return serviceOf(last, "job-1").Running == 6 }), "and are known again: %+v", serviceOf(last, "job-1"))
 }
 
 func TestLookingChangesNothing(t *testing.T) {
@@ -176,14 +176,14 @@
 	w.Nodes[0].Restart(30 * time.Second)
 	looks, changing := 0, 0
 	for end := w.Now + 15*time.Second; w.Now < end; w.Run(time.Millisecond) {
-		for _, n := range w.Nodes[1:] {
-			for _, p := range n.Core.Status().Parts {
-				if p.Here && !p.Loaded {
+		for _, node := range w.Nodes[1:] {
+			for _, p := range node.Core.Status().Shards {
+				if p.OwnedHere && !p.Loaded {
 					changing++
 				}
 			}
 			for _, j := range jobs {
-				n.Core.Explain(j.Spec.ID)
+				node.Core.Explain(j.Spec.ID)
 			}
 			looks++
 		}
@@ -201,20 +201,20 @@
 		require.NoError(t, gob.NewEncoder(&b).Encode(core.Message{Gossip: g}))
 		return b.Len()
 	}
-	plain, full := core.PartView{Zone: "a"}, core.PartView{Zone: "a"}
+	plain, full := core.ShardView{Zone: "a"}, core.ShardView{Zone: "a"}
 	for i := range 400 {
-		s := core.Shown{ID: fmt.Sprintf("job-%06d", i), Running: 3}
-		plain.Show = append(plain.Show, s)
+		s := core.JobCounts{ID: fmt.Sprintf("job-%06d", i), Running: 3}
+		plain.Jobs = append(plain.Jobs, s)
 		if i < 40 { // one service in ten lacks replicas
-			s.Waiting, s.Fetching, s.MissingS, s.Why = 1, 1, 40, core.ImageFetch
+			s.Waiting, s.Fetching, s.MissingSeconds, s.Reason = 1, 1, 40, core.ReasonImageFetch
 		}
-		full.Show = append(full.Show, s)
+		full.Jobs = append(full.Jobs, s)
 	}
 	for i := range 16 {
-		full.Queues = append(full.Queues, core.Queue{Part: "a", Class: "work-class", Team: fmt.Sprintf("team-%d", i),
-			Tally: core.Tally{Up: 900, Fetching: 30, Waiting: 300}, WaitS: 120, Job: "job-000001", Why: core.Booting})
+		full.Queues = append(full.Queues, core.Queue{Shard: "a", Class: "work-class", Team: fmt.Sprintf("team-%d", i),
+			TaskCounts: core.TaskCounts{Running: 900, Fetching: 30, Waiting: 300}, WaitSeconds: 120, Job: "job-000001", Reason: core.ReasonBooting})
 	}
-	before, after := size(&core.Gossip{Parts: []core.PartView{plain}}), size(&core.Gossip{Parts: []core.PartView{full}})
+	before, after := size(&core.Gossip{Shards: []core.ShardView{plain}}), size(&core.Gossip{Shards: []core.ShardView{full}})
 	t.Logf("%d bytes, %d with word of replicas and queues", before, after)
 	assert.Less(t, after-before, 3000)
 }
@@ -232,8 +232,8 @@
 		n.Restart(time.Second)
 	}
 	require.True(t, w.Until(30*time.Second, func() bool {
-		for _, n := range w.Nodes {
-			if q := queueOf(n, "work"); q.Why != core.TeamUnknown || q.Team != "blue" {
+		for _, node := range w.Nodes {
+			if q := queueOf(node, "work"); q.Reason != core.ReasonTeamUnknown || q.Team != "blue" {
 				return false
 			}
 		}
@@ -241,7 +241,7 @@
 	}))
 	e, ok := w.Nodes[0].Core.Explain("job-1")
 	require.True(t, ok)
-	assert.Equal(t, core.TeamUnknown, e.Parts[0].Reason)
+	assert.Equal(t, core.ReasonTeamUnknown, e.Shards[0].Reason)
 	w.Cfg.Teams, w.Cloud.Room = teams, map[string]int{roomKey("large", "a", true): 2}
 	for _, n := range w.Nodes {
 		n.Restart(time.Second)
--- a/internal/fake/story_test.go
+++ b/internal/fake/story_test.go
@@ -24,9 +24,9 @@
 	return w
 }
 
-func spec(id, team string, tasks int, cores float64) core.Spec {
-	return core.Spec{ID: id, Class: "work", Team: team, Priority: 1, Tasks: tasks, Need: core.Amount{Cores: cores, Mem: 1},
-		Spot: true, Image: "img", ImageGB: 0.5, Estimate: 10}
+func spec(id, team string, tasks int, cores float64) core.JobSpec {
+	return core.JobSpec{ID: id, Class: "work", Team: team, Priority: 1, Tasks: tasks, Need: core.Resources{Cores: cores, MemoryGB: 1},
+		Spot: true, Image: "img", ImageGB: 0.5, EstimateSeconds: 10}
 }
 
 // ends waits for a job to end and for its machines to go back.
@@ -55,8 +55,8 @@
 // allGone says whether every machine has been given back or has died.
 func allGone(w *World) func() bool {
 	return func() bool {
-		for _, k := range w.Workers {
-			if !k.gone {
+		for _, worker := range w.Workers {
+			if !worker.gone {
 				return false
 			}
 		}
@@ -81,7 +81,7 @@
 	w := day(t, 1)
 	job := w.Submit(spec("job-1", "red", 6, 2), 8*time.Second)
 	ends(t, w, job, 60*time.Second)
-	assert.Equal(t, core.Complete, job.Told)
+	assert.Equal(t, core.JobDone, job.Told)
 	assert.Len(t, job.Finished, 6)
 	assert.True(t, w.Until(2*time.Minute, allGone(w)), "idle machines are returned")
 }
@@ -92,7 +92,7 @@
 	require.True(t, w.Until(40*time.Second, started(w, "job-1", 2)))
 	crashed := ""
 	w.Store.Lose = func(node string, txn core.Txn) (bool, time.Duration) {
-		for _, s := range txn.Apply {
+		for _, s := range txn.Mutations {
 			if crashed == "" && places(s) && strings.HasSuffix(s.Key, "job-2") {
 				// The placement becomes durable, but its owner dies before it hears of it.
 				crashed = node
@@ -116,18 +116,18 @@
 	w := day(t, 3)
 	warm := w.Submit(spec("job-1", "red", 4, 2), 60*time.Second)
 	require.True(t, w.Until(40*time.Second, started(w, "job-1", 4)))
-	for _, n := range w.Nodes {
+	for _, node := range w.Nodes {
 		for name := range w.Workers {
 			// Orders are held; reports get through to other controllers only.
-			w.Cut(n.Name, name, 20*time.Second, true)
+			w.Cut(node.Name, name, 20*time.Second, true)
 		}
 	}
 	job := w.Submit(spec("job-2", "red", 2, 1), 30*time.Second)
 	w.Run(3 * time.Second)
-	w.Stop(job)
+	w.Cancel(job)
 	ends(t, w, job, 30*time.Second)
 	w.Run(2 * time.Minute)
-	assert.Equal(t, core.Withdrawn, job.Told)
+	assert.Equal(t, core.JobCancelled, job.Told)
 	assert.Empty(t, w.On("job-2"))
 	ends(t, w, warm, 3*time.Minute)
 }
@@ -169,9 +169,9 @@
 		w.Cut("node-1", name, 3*time.Minute, false)
 		w.Cut("node-2", name, 3*time.Minute, false)
 	}
-	w.Stop(job)
+	w.Cancel(job)
 	ends(t, w, job, 20*time.Second)
-	w.Run(w.Cfg.Cancel)
+	w.Run(w.Cfg.CancelWithin)
 	assert.Empty(t, w.On("job-1"), "gone in time")
 }
 
@@ -180,7 +180,7 @@
 func loseFirst(w *World, prefix string, late time.Duration) *int {
 	n := new(int)
 	w.Store.Lose = func(_ string, txn core.Txn) (bool, time.Duration) {
-		for _, s := range txn.Apply {
+		for _, s := range txn.Mutations {
 			if strings.HasPrefix(s.Key, prefix) && *n == 0 {
 				*n++
 				return true, late
@@ -228,7 +228,7 @@
 	job := w.Submit(spec("job-1", "red", 4, 2), 20*time.Second)
 	require.True(t, w.Until(40*time.Second, started(w, "job-1", 4)))
 	for k := range w.On("job-1") {
-		k.Recall(6 * time.Second)
+		k.GiveSpotNotice(6 * time.Second)
 	}
 	ends(t, w, job, 2*time.Minute)
 }
@@ -236,7 +236,7 @@
 func TestLateHireIsUsedOrReturned(t *testing.T) {
 	w := day(t, 10)
 	late := 0
-	w.Cloud.LateHire = func(core.HireOp) time.Duration {
+	w.Cloud.LateRental = func(core.RentHosts) time.Duration {
 		if late == 0 {
 			late++
 			return 15 * time.Second
@@ -255,15 +255,15 @@
 func TestOneZoneAndApartHoldOverFailures(t *testing.T) {
 	w := day(t, 11)
 	one, apart := spec("job-1", "red", 6, 2), spec("job-2", "red", 5, 2)
-	one.OneZone, apart.Apart = true, true
+	one.OneZone, apart.SpreadZones = true, true
 	a, b := w.Submit(one, 15*time.Second), w.Submit(apart, 15*time.Second)
 	require.True(t, w.Until(60*time.Second, started(w, "job-2", 3)))
-	for k := range w.On("job-1") {
-		k.Die()
+	for worker := range w.On("job-1") {
+		worker.Die()
 		break
 	}
-	for k := range w.On("job-2") {
-		k.Die()
+	for worker := range w.On("job-2") {
+		worker.Die()
 		break
 	}
 	w.Nodes[1].Restart(4 * time.Second)
@@ -276,7 +276,7 @@
 	job := w.Submit(spec("job-1", "red", 3, 2), 6*time.Second)
 	dropped := w.Submit(spec("job-2", "red", 3, 2), 5*time.Minute)
 	require.True(t, w.Until(40*time.Second, started(w, "job-2", 1)))
-	w.Stop(dropped)
+	w.Cancel(dropped)
 	ends(t, w, dropped, 10*time.Second)
 	ends(t, w, job, 60*time.Second)
 	assert.LessOrEqual(t, job.ToldDone, w.Now)
@@ -284,15 +284,15 @@
 		n.Restart(time.Second)
 	}
 	w.Run(5 * time.Second)
-	for _, n := range w.Nodes {
-		for id, want := range map[string]core.Standing{"job-1": core.Complete, "job-2": core.Withdrawn} {
-			got := core.Pending
-			n.ask(func(req uint64) any { return core.Poll{Req: req, ID: id} }, func(v any) { got = v.(core.Reply).Run.Standing })
+	for _, node := range w.Nodes {
+		for id, want := range map[string]core.JobState{"job-1": core.JobDone, "job-2": core.JobCancelled} {
+			got := core.JobPending
+			node.ask(func(req uint64) any { return core.JobQuery{RequestID: req, ID: id} }, func(v any) { got = v.(core.UserReply).Job.State })
 			w.Run(time.Second)
-			assert.Equal(t, want, got, "%s at %s", id, n.Name)
+			assert.Equal(t, want, got, "%s at %s", id, node.Name)
 		}
 		status := 0
-		n.ask(func(req uint64) any { return core.Poll{Req: req, ID: "job-9"} }, func(v any) { status = v.(core.Reply).Status })
+		node.ask(func(req uint64) any { return core.JobQuery{RequestID: req, ID: "job-9"} }, func(v any) { status = v.(core.UserReply).Status })
 		w.Run(time.Second)
 		assert.Equal(t, 404, status)
 	}
@@ -310,7 +310,7 @@
 	ends(t, w, gang, 60*time.Second)
 	w.Run(30 * time.Second)
 	assert.True(t, started(w, "job-2", 2)())
-	w.Stop(service)
+	w.Cancel(service)
 	ends(t, w, service, 20*time.Second)
 	w.Run(10 * time.Second)
 	assert.Empty(t, w.On("job-2"))
@@ -354,18 +354,18 @@
 	w.Referee.on(at(8), k1)
 	w.Referee.on(at(1), k1)
 	saw("quota")
-	w.Referee.told("job-1", 200, core.Complete, w.Referee.known("job-1"))
+	w.Referee.told("job-1", 200, core.JobDone, w.Referee.known("job-1"))
 	saw("not_done")
-	w.Referee.told("job-1", 200, core.Pending, w.Referee.known("job-1"))
+	w.Referee.told("job-1", 200, core.JobPending, w.Referee.known("job-1"))
 	saw("went_back")
 	w.Referee.told("job-1", 404, 0, w.Referee.known("job-1"))
 	saw("forgotten")
-	w.Referee.told("job-7", 200, core.Pending, w.Referee.known("job-7"))
+	w.Referee.told("job-7", 200, core.JobPending, w.Referee.known("job-7"))
 	saw("invented")
-	job.Told, job.AskedStop = core.Pending, true
-	w.Referee.told("job-1", 200, core.Withdrawn, w.Referee.known("job-1"))
+	job.Told, job.CancelRequested = core.JobPending, true
+	w.Referee.told("job-1", 200, core.JobCancelled, w.Referee.known("job-1"))
 	require.Empty(t, w.Referee.Broken)
-	w.Now += w.Cfg.Cancel + time.Second
+	w.Now += w.Cfg.CancelWithin + time.Second
 	w.Referee.overdue()
 	saw("ran_cancelled")
 }
@@ -382,9 +382,9 @@
 	w.Submit(other, 2*time.Minute)
 	require.True(t, w.Until(40*time.Second, func() bool { return started(w, "job-3", 2)() || stuck.Over() }))
 	require.False(t, stuck.Over())
-	for k := range w.On("job-2") {
-		require.Equal(t, "a", k.zone)
-		k.Die()
+	for worker := range w.On("job-2") {
+		require.Equal(t, "a", worker.zone)
+		worker.Die()
 	}
 	for k := range w.Cloud.Room {
 		if strings.Contains(k, "/a/") {
@@ -394,7 +394,7 @@
 	ends(t, w, stuck, 90*time.Second)
 	moved := uint64(0)
 	for _, n := range w.Nodes {
-		moved += n.Core.Stats().Moves
+		moved += n.Core.Stats().Rebalanced
 	}
 	assert.Positive(t, moved)
 }
@@ -405,8 +405,8 @@
 	require.True(t, w.Until(60*time.Second, started(w, "job-1", 10)))
 	ends(t, w, first, 60*time.Second)
 	alive := 0
-	for name, k := range w.Workers {
-		if k.gone {
+	for name, worker := range w.Workers {
+		if worker.gone {
 			continue
 		}
 		if alive++; alive > 1 {
@@ -440,9 +440,9 @@
 	job := w.Submit(s, 10*time.Second)
 	require.True(t, w.Until(60*time.Second, started(w, "job-1", 6)))
 	var slow *Worker
-	for k := range w.On("job-1") {
-		if slow == nil || k.name < slow.name {
-			slow = k
+	for worker := range w.On("job-1") {
+		if slow == nil || worker.name < slow.name {
+			slow = worker
 		}
 	}
 	slow.Slow = 8
--- a/internal/fake/timing_test.go
+++ b/internal/fake/timing_test.go
@@ -14,7 +14,7 @@
 // timed makes a settled world whose workers keep other times.
 func timed(t *testing.T, seed uint64, report, lease, cancel time.Duration) *World {
 	cfg := Settings()
-	cfg.Report, cfg.Lease, cfg.Cancel = report, lease, cancel
+	cfg.HeartbeatInterval, cfg.WorkerLease, cfg.CancelWithin = report, lease, cancel
 	w := New(seed, cfg)
 	if testing.Verbose() {
 		w.Log = t.Logf
@@ -51,8 +51,8 @@
 			w.Submit(spec(fmt.Sprintf("job-%d", 100+i), "red", 1, 0.1), time.Second)
 		}
 		w.Run(100 * time.Millisecond)
-		for _, n := range w.Nodes[:2] {
-			for _, d := range n.Core.Status().Degraded {
+		for _, node := range w.Nodes[:2] {
+			for _, d := range node.Core.Status().Degraded {
 				if d.Mode == "not answering workers: withdrawals might be missed" {
 					silent++
 				}
@@ -60,7 +60,7 @@
 		}
 	}
 	assert.Zero(t, silent, "moments in which a controller answers nobody")
-	w.Stop(job)
+	w.Cancel(job)
 	ends(t, w, job, 20*time.Second)
 }
 
@@ -68,7 +68,7 @@
 	// A machine whose session begins has a whole lease before it; what is started there
 	// must be gone when a withdrawal that was missed asks for it.
 	w := timed(t, 8404, 3*time.Second, 14*time.Second, 18*time.Second)
-	w.Alone(w.Nodes[0], 20*time.Second, false)
+	w.Isolate(w.Nodes[0], 20*time.Second, false)
 	silent := 0
 	for end := w.Now + 20*time.Second; w.Now < end; w.Run(100 * time.Millisecond) {
 		modes := map[string]bool{}
@@ -85,20 +85,20 @@
 
 func TestAMachineThatReportsSeldomIsNotGivenBackForOneLostReport(t *testing.T) {
 	w := timed(t, 8402, 8*time.Second, 38*time.Second, 58*time.Second)
-	w.Cfg.Report = 10 * time.Second // a quarter late, as they may be
+	w.Cfg.HeartbeatInterval = 10 * time.Second // a quarter late, as they may be
 	job := w.Submit(spec("job-1", "red", 8, 2), 120*time.Second)
 	require.True(t, w.Until(60*time.Second, started(w, "job-1", 8)))
 	w.Run(12 * time.Second)
-	for k := range w.On("job-1") { // the next report of each is lost with its connection
-		k := k
+	for worker := range w.On("job-1") { // the next report of each is lost with its connection
+		worker := worker
 		var lose func()
 		lose = func() {
-			if w.Now < k.lastSent+w.Cfg.Report-300*time.Millisecond {
+			if w.Now < worker.lastSent+w.Cfg.HeartbeatInterval-300*time.Millisecond {
 				w.After(100*time.Millisecond, lose)
 				return
 			}
 			for _, n := range w.Nodes {
-				w.Cut(n.Name, k.name, 1500*time.Millisecond, false)
+				w.Cut(n.Name, worker.name, 1500*time.Millisecond, false)
 			}
 		}
 		lose()
@@ -111,13 +111,13 @@
 	}
 	assert.Greater(t, longest, 14*time.Second, "a report was lost")
 	assert.Equal(t, 8, job.Starts, "no task had to start again")
-	w.Stop(job)
+	w.Cancel(job)
 	ends(t, w, job, 20*time.Second)
 }
 
 func TestAPartOfFewMachinesThatReportSeldomStaysWithItsOwner(t *testing.T) {
 	w := timed(t, 8403, 8*time.Second, 38*time.Second, 58*time.Second)
-	w.Cfg.Report = 10 * time.Second
+	w.Cfg.HeartbeatInterval = 10 * time.Second
 	s := spec("job-1", "red", 3, 4)
 	s.Zone = "a"
 	s.Types = []string{"small"}
@@ -138,15 +138,15 @@
 			if quiet%20 == 1 {
 				// A machine that is new asks any controller.
 				next++
-				w.Nodes[1].handle(core.Beat{Report: core.Report{Host: "vm-9999", Addr: "vm-9999", Type: "small", Zone: "a",
-					Session: 1, Seq: uint64(next), Notice: -1}})
+				w.Nodes[1].handle(core.Heartbeat{Status: core.WorkerStatus{Host: "vm-9999", Address: "vm-9999", Type: "small", Zone: "a",
+					Incarnation: 1, Seq: uint64(next), SpotNotice: -1}})
 			}
 		}
 	}
 	assert.Positive(t, quiet)
 	assert.Zero(t, handed)
 	assert.Equal(t, 3, job.Starts)
-	w.Stop(job)
+	w.Cancel(job)
 	ends(t, w, job, 20*time.Second)
 }
 
@@ -158,10 +158,10 @@
 		{8 * time.Second, -time.Second}, {5 * time.Second, -time.Second}, {3 * time.Second, -time.Second},
 	} {
 		t.Run(fmt.Sprint(c.report, c.spare), func(t *testing.T) {
-			knobs := Settings().Knobs
+			knobs := Settings().Tuning
 			lease := 20 * time.Second
 			for range 10 { // the controllers' lease is a share of the workers'
-				lease = knobs.TakenOverIn(c.report, lease, false) + c.spare
+				lease = knobs.FailoverTime(c.report, lease, false) + c.spare
 			}
 			w := timed(t, 8405, c.report, lease, lease+30*time.Second)
 			s := spec("job-1", "red", 10, 2)
@@ -169,12 +169,14 @@
 			job := w.Submit(s, 3*time.Minute)
 			require.True(t, w.Until(60*time.Second, started(w, "job-1", 10)))
 			w.Run(2 * c.report)
-			w.Cfg.Report = c.report * 5 / 4
+			w.Cfg.HeartbeatInterval = c.report * 5 / 4
 			w.Run(2 * c.report)
 			// It ends right before some machine's report, and is silent rather than
 			// refusing.
-			k := anyOn(w, "job-1")
-			require.True(t, w.Until(2*w.Cfg.Report, func() bool { return !k.flying && w.Now > k.lastSent+w.Cfg.Report-300*time.Millisecond }))
+			worker := anyOn(w, "job-1")
+			require.True(t, w.Until(2*w.Cfg.HeartbeatInterval, func() bool {
+				return !worker.heartbeatPending && w.Now > worker.lastSent+w.Cfg.HeartbeatInterval-300*time.Millisecond
+			}))
 			for name := range w.Workers {
 				w.Cut(w.Nodes[0].Name, name, 60*time.Second, false)
 			}
@@ -185,7 +187,7 @@
 			} else {
 				assert.Greater(t, job.Starts, 10)
 			}
-			w.Stop(job)
+			w.Cancel(job)
 			ends(t, w, job, 30*time.Second)
 		})
 	}
--- a/internal/fake/trouble_test.go
+++ b/internal/fake/trouble_test.go
@@ -16,9 +16,9 @@
 // anyOn is a machine that has tasks of the job; always the same in a replay.
 func anyOn(w *World, id string) *Worker {
 	var first *Worker
-	for k := range w.On(id) {
-		if first == nil || k.name < first.name {
-			first = k
+	for worker := range w.On(id) {
+		if first == nil || worker.name < first.name {
+			first = worker
 		}
 	}
 	return first
@@ -46,12 +46,12 @@
 	job := w.Submit(spec("job-1", "red", 6, 4), 30*time.Second)
 	require.True(t, w.Until(60*time.Second, started(w, "job-1", 6)))
 	deaf := anyOn(w, "job-1")
-	w.Deafen(deaf, 10*time.Minute)
+	w.CutInbound(deaf, 10*time.Minute)
 	from := w.Now
 	starts := func() int { return len(deaf.tasks) }
 	before := starts()
 	more := w.Submit(spec("job-2", "red", 4, 2), 5*time.Second)
-	require.True(t, w.Until(w.Cfg.Lease+30*time.Second, func() bool { return deaf.deleted }), "it is returned")
+	require.True(t, w.Until(w.Cfg.WorkerLease+30*time.Second, func() bool { return deaf.deleted }), "it is returned")
 	// Its tasks had to be proven gone first: by the end of its lease, seen in a
 	// later session, or by the cloud's word. The referee saw no task twice.
 	assert.LessOrEqual(t, starts(), before, "it gets no new work")
@@ -67,7 +67,7 @@
 		w.After(time.Millisecond, func() {
 			if deaf == nil {
 				deaf = w.Workers[name]
-				w.Deafen(deaf, 10*time.Minute)
+				w.CutInbound(deaf, 10*time.Minute)
 			}
 		})
 		return 5
@@ -86,16 +86,16 @@
 	// Every report comes again after seconds, after about a lease and long after
 	// it: from the same session, an earlier one, and machines long returned.
 	w.Copies = func(*Worker) []time.Duration {
-		return []time.Duration{2 * time.Second, 9 * time.Second, w.Cfg.Lease + 2*time.Second, 3 * w.Cfg.Lease}
+		return []time.Duration{2 * time.Second, 9 * time.Second, w.Cfg.WorkerLease + 2*time.Second, 3 * w.Cfg.WorkerLease}
 	}
 	var jobs []*Job
 	for i := range 6 {
 		jobs = append(jobs, w.Submit(spec(fmt.Sprintf("job-%d", i), "red", 4, 2), time.Duration(8+5*i)*time.Second))
 	}
 	require.True(t, w.Until(60*time.Second, started(w, "job-5", 1)))
-	k := anyOn(w, "job-5")
+	worker := anyOn(w, "job-5")
 	for _, n := range w.Nodes { // its session ends; copies of the old one still come
-		w.Cut(n.Name, k.name, w.Cfg.Lease+4*time.Second, false)
+		w.Cut(n.Name, worker.name, w.Cfg.WorkerLease+4*time.Second, false)
 	}
 	w.Run(5 * time.Second)
 	w.Nodes[0].Restart(50 * time.Millisecond) // a restarted owner knows of no returns
@@ -112,9 +112,9 @@
 	// The copies that are still coming bring no machine back to life, though no
 	// controller remembers that it was returned.
 	seen := false
-	for end := w.Now + 3*w.Cfg.Lease; w.Now < end; w.Run(200 * time.Millisecond) {
-		for _, n := range w.Nodes {
-			for _, p := range n.Core.Status().Parts {
+	for end := w.Now + 3*w.Cfg.WorkerLease; w.Now < end; w.Run(200 * time.Millisecond) {
+		for _, node := range w.Nodes {
+			for _, p := range node.Core.Status().Shards {
 				for _, h := range p.Hosts {
 					require.NotEqual(t, "up", h.State, "%s of %s", h.Type, p.Zone)
 					seen = true
@@ -127,27 +127,27 @@
 
 func TestACopyThatIsTheFirstToArriveAfterTheLeaseIsNoSignOfLife(t *testing.T) {
 	// The machine is kept although it is silent, so that its lease runs out here.
-	w := oneController(t, 34, func(c *core.Config) { c.Knobs.SilentReturn = 10 * time.Minute })
+	w := oneController(t, 34, func(c *core.Config) { c.Tuning.ReturnSilentAfter = 10 * time.Minute })
 	job := w.Submit(spec("job-1", "red", 2, 2), 40*time.Second)
 	require.True(t, w.Until(40*time.Second, started(w, "job-1", 2)))
-	k := anyOn(w, "job-1")
-	zone, room := k.zone, map[string]int{}
+	worker := anyOn(w, "job-1")
+	zone, room := worker.zone, map[string]int{}
 	for kind, n := range w.Cloud.Room { // no other machine to be had meanwhile
 		room[kind], w.Cloud.Room[kind] = n, 0
 	}
 	// Its reports are lost and only copies of them arrive, after its lease; then it dies.
-	w.Copies = func(*Worker) []time.Duration { return []time.Duration{w.Cfg.Lease + 8*time.Second} }
+	w.Copies = func(*Worker) []time.Duration { return []time.Duration{w.Cfg.WorkerLease + 8*time.Second} }
 	for _, n := range w.Nodes {
-		w.CutOneWay(k.name, n.Name, 10*time.Minute)
+		w.CutOneWay(worker.name, n.Name, 10*time.Minute)
 	}
 	w.Run(4 * time.Second)
-	k.Die()
+	worker.Die()
 	usable := func() int {
 		sum := 0
-		for _, n := range w.Nodes {
-			for _, p := range n.Core.Status().Parts {
+		for _, node := range w.Nodes {
+			for _, p := range node.Core.Status().Shards {
 				for _, h := range p.Hosts {
-					if p.Here && p.Zone == zone && h.State == "up" {
+					if p.OwnedHere && p.Zone == zone && h.State == "up" {
 						sum += h.Count
 					}
 				}
@@ -155,7 +155,7 @@
 		}
 		return sum
 	}
-	w.Run(w.Cfg.Lease - 2*time.Second)
+	w.Run(w.Cfg.WorkerLease - 2*time.Second)
 	known := usable()
 	for end := w.Now + 16*time.Second; w.Now < end; w.Run(200 * time.Millisecond) {
 		require.LessOrEqual(t, usable(), known)
@@ -172,7 +172,7 @@
 	require.True(t, w.Until(40*time.Second, started(w, "job-1", 2)))
 	starts := w.Referee.Starts
 	w.Run(14 * time.Second)
-	w.Alone(w.Nodes[0], 12*time.Second, false) // shorter than anything gives up on it
+	w.Isolate(w.Nodes[0], 12*time.Second, false) // shorter than anything gives up on it
 	require.True(t, w.Until(20*time.Second, func() bool { return len(job.Finished) == 2 }))
 	ends(t, w, job, 60*time.Second)
 	assert.Equal(t, starts, w.Referee.Starts, "nothing had to run again")
@@ -189,13 +189,13 @@
 		dropped.Zone = "a"
 		stopped := w.Submit(dropped, 5*time.Minute)
 		require.True(t, w.Until(40*time.Second, started(w, "job-2", 2)))
-		w.Alone(w.Nodes[0], 50*time.Second, hold)
+		w.Isolate(w.Nodes[0], 50*time.Second, hold)
 		w.Run(2 * time.Second)
-		w.Stop(stopped) // at whoever can be asked
+		w.Cancel(stopped) // at whoever can be asked
 		claimed := func() bool {
-			for _, n := range w.Nodes[1:] {
-				for _, p := range n.Core.Status().Parts {
-					if p.Zone == "a" && p.Here {
+			for _, node := range w.Nodes[1:] {
+				for _, p := range node.Core.Status().Shards {
+					if p.Zone == "a" && p.OwnedHere {
 						return true
 					}
 				}
@@ -204,7 +204,7 @@
 		}
 		require.True(t, w.Until(30*time.Second, claimed), "another controller takes the part")
 		ends(t, w, stopped, 30*time.Second)
-		w.Run(w.Cfg.Cancel)
+		w.Run(w.Cfg.CancelWithin)
 		assert.Empty(t, w.On("job-2"), "the withdrawn job is gone in time")
 		ends(t, w, job, 3*time.Minute)
 	}
@@ -220,7 +220,7 @@
 			t.Cleanup(func() { assert.Empty(t, w.Referee.Broken, "rules") })
 			hit := 0
 			is := func(txn core.Txn) bool {
-				for _, s := range txn.Apply {
+				for _, s := range txn.Mutations {
 					switch {
 					case step == "claim" && strings.HasPrefix(s.Key, "part/") && s.Value != nil,
 						step == "handover" && strings.HasPrefix(s.Key, "part/") && s.Value == nil,
@@ -231,8 +231,8 @@
 				}
 				return false
 			}
-			w.Again = func(node string, op any) time.Duration {
-				c, ok := op.(core.CommitOp)
+			w.RepeatRequest = func(node string, op any) time.Duration {
+				c, ok := op.(core.CommitTxn)
 				if !ok || !is(c.Txn) || hit > 2 {
 					return 3 * time.Second
 				}
@@ -287,7 +287,7 @@
 	w.Referee.Served() // the cleanup of the day looks at what it found
 	done := 0
 	for _, j := range w.Jobs {
-		if j.Told == core.Complete {
+		if j.Told == core.JobDone {
 			done++
 		}
 	}
@@ -325,15 +325,15 @@
 func TestTheRefereeSeesForgottenAndStarvedJobs(t *testing.T) {
 	w := New(1, Settings())
 	w.Now = time.Second
-	add := func(id, team string, tasks int, told core.Standing, began time.Duration) *Job {
+	add := func(id, team string, tasks int, told core.JobState, began time.Duration) *Job {
 		s := spec(id, team, tasks, 1)
 		j := &Job{Spec: s, Finished: map[int]bool{}, Accepted: true, Answered: w.Now, Told: told, Began: began}
 		w.Jobs[id] = j
 		return j
 	}
 	broken := func() string { return strings.Join(w.Referee.Broken, "; ") }
-	silent := add("job-1", "red", 1, core.Pending, time.Second)
-	w.Calm = 100 * time.Second
+	silent := add("job-1", "red", 1, core.JobPending, time.Second)
+	w.FaultsOverAt = 100 * time.Second
 	w.Now = 100*time.Second + forgetAfter
 	w.Referee.overdue()
 	require.Empty(t, w.Referee.Broken, "the bound counts from the end of all troubles")
@@ -342,21 +342,21 @@
 	assert.Contains(t, broken(), "forgotten: no question about job-1")
 	w.Referee.Broken = nil
 
-	silent.Told = core.Complete
-	add("job-2", "blue", 2, core.Complete, time.Second)
-	add("job-3", "red", 1, core.Complete, time.Second)
+	silent.Told = core.JobDone
+	add("job-2", "blue", 2, core.JobDone, time.Second)
+	add("job-3", "red", 1, core.JobDone, time.Second)
 	w.Referee.Served()
 	require.Empty(t, w.Referee.Broken)
-	big := add("job-4", "red", 50, core.Complete, beginWithin+time.Minute)
+	big := add("job-4", "red", 50, core.JobDone, beginWithin+time.Minute)
 	w.Referee.Served()
 	assert.Contains(t, broken(), "job-4, one of the largest of work, began after")
 	w.Referee.Broken = nil
-	big.Told, big.Began = core.Pending, time.Second
+	big.Told, big.Began = core.JobPending, time.Second
 	w.Referee.Served()
 	assert.Contains(t, broken(), "largest of class work: 0 of 1")
 	w.Referee.Broken = nil
 	for _, id := range []string{"job-5", "job-6"} {
-		add(id, "blue", 1, core.Pending, time.Second)
+		add(id, "blue", 1, core.JobPending, time.Second)
 	}
 	w.Referee.Served()
 	assert.Contains(t, broken(), "team blue: 1 of 3")
@@ -376,8 +376,8 @@
 
 func workersOf(w *World, zone string) []string {
 	var names []string
-	for name, k := range w.Workers {
-		if k.zone == zone {
+	for name, worker := range w.Workers {
+		if worker.zone == zone {
 			names = append(names, name)
 		}
 	}
@@ -393,8 +393,8 @@
 // machines counts those hired that a test asks for.
 func (w *World) machines(which func(*Worker) bool) int {
 	n := 0
-	for _, k := range w.Workers {
-		if which(k) {
+	for _, worker := range w.Workers {
+		if which(worker) {
 			n++
 		}
 	}
@@ -406,9 +406,9 @@
 	// before then ran out; what it started in the session after that was taken for
 	// gone a lease after the greeting, while it still ran.
 	w := oneController(t, 50, func(c *core.Config) {
-		c.Knobs.SilentReturn, c.Knobs.KeepIdle = 10*time.Minute, 10*time.Minute
+		c.Tuning.ReturnSilentAfter, c.Tuning.KeepIdle = 10*time.Minute, 10*time.Minute
 	})
-	plain := func(id string, tasks int) core.Spec {
+	plain := func(id string, tasks int) core.JobSpec {
 		s := spec(id, "red", tasks, 4)
 		s.Image, s.ImageGB = "", 0
 		return s
@@ -416,10 +416,10 @@
 	ends(t, w, w.Submit(plain("job-1", 10), 5*time.Second), 2*time.Minute) // machines are up and idle
 	w.Run(2 * time.Second)
 	var muted []*Worker // they are asked and answer, but their own reports are lost
-	for _, k := range w.Workers {
-		if !k.gone {
-			k.nextAt = w.Now + time.Hour
-			muted = append(muted, k)
+	for _, worker := range w.Workers {
+		if !worker.gone {
+			worker.nextAt = w.Now + time.Hour
+			muted = append(muted, worker)
 		}
 	}
 	require.Greater(t, len(muted), 2)
@@ -429,12 +429,12 @@
 	w.Submit(plain("job-2", 4), 5*time.Minute)
 	// It greets them; their leases run out a lease after their last report, and it
 	// hears so when it has orders for them.
-	w.Run(sent + w.Cfg.Lease + 200*time.Millisecond - w.Now)
+	w.Run(sent + w.Cfg.WorkerLease + 200*time.Millisecond - w.Now)
 	w.Submit(plain("job-3", 6), 5*time.Minute)
 	again := func() bool {
 		for _, id := range []string{"job-2", "job-3"} {
-			for k := range w.On(id) {
-				if k.session > 1 {
+			for worker := range w.On(id) {
+				if worker.incarnation > 1 {
 					return true
 				}
 			}
--- a/internal/fake/users_troubles.go
+++ b/internal/fake/users_troubles.go
@@ -13,7 +13,7 @@
 // Users counts what users did beyond the ordinary, so that a story can show that it
 // came about.
 type Users struct {
-	Looks   int // answers to questions asked closely
+	Polls   int // answers to questions asked closely
 	AtOnce  int // jobs cancelled as soon as they were accepted
 	Repeats int // submissions of unfinished jobs answered again
 	Stopped int // cancellations of jobs that were done
@@ -24,10 +24,10 @@
 	share   float64       // of the jobs accepted meanwhile are cancelled at once
 }
 
-// CloseLooks has users ask at all nodes, again and again within milliseconds, and
+// PollClosely has users ask at all nodes, again and again within milliseconds, and
 // repeat the submission, right after a job was accepted, ended or confirmed as
 // cancelled, for a while. A share of the jobs is cancelled as soon as it is accepted.
-func (w *World) CloseLooks(d time.Duration, share float64) {
+func (w *World) PollClosely(d time.Duration, share float64) {
 	w.Users.closely, w.Users.share = w.Now+d, share
 }
 
@@ -47,26 +47,26 @@
 		return
 	}
 	job.looked = stage
-	w.Look(job, 4)
+	w.Poll(job, 4)
 	if stage == 1 && w.Rng.Float64() < w.Users.share {
 		w.Users.AtOnce++
-		w.Stop(job)
+		w.Cancel(job)
 	}
 }
 
-// Look has the job's user ask at all nodes and repeat the submission there, some times
+// Poll has the job's user ask at all nodes and repeat the submission there, some times
 // within milliseconds.
-func (w *World) Look(job *Job, times int) {
+func (w *World) Poll(job *Job, times int) {
 	count := func(status int) {
 		if status == 200 {
-			w.Users.Looks++
+			w.Users.Polls++
 		}
 	}
 	for i := range times {
 		w.After(time.Duration(i)*4*time.Millisecond, func() {
-			for _, n := range w.Nodes {
-				w.ask(n, job.Spec.ID, count)
-				w.repeat(n, job, count)
+			for _, node := range w.Nodes {
+				w.ask(node, job.Spec.ID, count)
+				w.repeat(node, job, count)
 			}
 		})
 	}
@@ -74,37 +74,37 @@
 
 // ask asks a node about a job.
 func (w *World) ask(n *Node, id string, then func(status int)) {
-	w.user(n, id, func(req uint64) any { return core.Poll{Req: req, ID: id} }, then)
+	w.user(n, id, func(req uint64) any { return core.JobQuery{RequestID: req, ID: id} }, then)
 }
 
 // repeat sends a job's submission to a node once more.
 func (w *World) repeat(n *Node, job *Job, then func(status int)) {
-	w.user(n, job.Spec.ID, func(req uint64) any { return core.Submit{Req: req, Spec: job.Spec} }, then)
+	w.user(n, job.Spec.ID, func(req uint64) any { return core.JobSubmission{RequestID: req, Spec: job.Spec} }, then)
 }
 
 // send has a user send a body to a node as a job's submission.
-func (w *World) send(n *Node, id string, body []byte, then func(status int)) {
-	w.user(n, id, func(req uint64) any {
-		spec, err := wire.DecodeRun(body)
-		ev := core.Submit{Req: req, Spec: spec}
+func (w *World) send(node *Node, id string, body []byte, then func(status int)) {
+	w.user(node, id, func(req uint64) any {
+		spec, err := wire.DecodeSubmission(body)
+		ev := core.JobSubmission{RequestID: req, Spec: spec}
 		if err != nil {
-			ev.Bad = err.Error()
+			ev.Malformed = err.Error()
 		}
 		return ev
 	}, then)
 }
 
 // fields are a submission's, as its user writes them.
-func fields(s core.Spec) map[string]any {
+func fields(s core.JobSpec) map[string]any {
 	form := "array"
 	if s.Service {
 		form = "daemon"
 	}
 	return map[string]any{"Ref": s.ID, "Docket": s.Class, "Desk": s.Team, "Form": form,
 		"Urgency": []string{"production", "high", "normal", "low"}[s.Priority], "Sheets": s.Tasks,
-		"Cores": s.Need.Cores, "Cards": s.Need.Cards, "MemGb": s.Need.Mem, "Build": s.Image, "PullGb": s.ImageGB,
-		"OneZone": s.OneZone, "Apart": s.Apart, "Loaners": s.Spot, "ExpectedS": s.Estimate, "BookmarkS": s.Checkpoint,
-		"StowS": s.Save}
+		"Cores": s.Need.Cores, "Cards": s.Need.GPUs, "MemGb": s.Need.MemoryGB, "Build": s.Image, "PullGb": s.ImageGB,
+		"OneZone": s.OneZone, "Apart": s.SpreadZones, "Loaners": s.Spot, "ExpectedS": s.EstimateSeconds, "BookmarkS": s.CheckpointSeconds,
+		"StowS": s.SaveSeconds}
 }
 
 // needed are the fields that no submission may lack.
@@ -112,7 +112,7 @@
 	"OneZone", "Apart", "Loaners", "ExpectedS", "BookmarkS", "StowS"}
 
 // without is a body that lacks a field.
-func without(s core.Spec, field string) []byte {
+func without(s core.JobSpec, field string) []byte {
 	f := fields(s)
 	delete(f, field)
 	b, _ := json.Marshal(f)
@@ -120,10 +120,10 @@
 }
 
 // canRun is the referee's own view of whether a job can ever run.
-func (w *World) canRun(s *core.Spec) bool {
+func (w *World) canRun(s *core.JobSpec) bool {
 	zones := map[string]bool{}
 	for _, t := range w.Cloud.Types {
-		fits := s.Need.Cores <= t.Total.Cores && s.Need.Cards <= t.Total.Cards && s.Need.Mem <= t.Total.Mem
+		fits := s.Need.Cores <= t.Capacity.Cores && s.Need.GPUs <= t.Capacity.GPUs && s.Need.MemoryGB <= t.Capacity.MemoryGB
 		if !fits || len(s.Types) > 0 && !slices.Contains(s.Types, t.Name) {
 			continue
 		}
@@ -134,7 +134,7 @@
 		}
 	}
 	least := 1
-	if s.Apart && s.Tasks > 1 {
+	if s.SpreadZones && s.Tasks > 1 {
 		least = 2
 	}
 	together := 1.0 // so many tasks run at a time or not at all
@@ -143,7 +143,7 @@
 	}
 	for _, t := range w.Cfg.Teams {
 		if t.Name == s.Team {
-			over := t.Limit.Cores > 0 && together*s.Need.Cores > t.Limit.Cores || t.Limit.Cards > 0 && together*s.Need.Cards > t.Limit.Cards
+			over := t.Limit.Cores > 0 && together*s.Need.Cores > t.Limit.Cores || t.Limit.GPUs > 0 && together*s.Need.GPUs > t.Limit.GPUs
 			return !over && len(zones) >= least && !(least == 2 && s.OneZone)
 		}
 	}
@@ -166,7 +166,7 @@
 }
 
 func (w *World) oddRequest() {
-	n := w.Nodes[w.Rng.IntN(len(w.Nodes))]
+	node := w.Nodes[w.Rng.IntN(len(w.Nodes))]
 	field := needed[w.Rng.IntN(len(needed))]
 	counts := func(to *int, want int) func(int) {
 		return func(status int) {
@@ -178,7 +178,7 @@
 	var unfinished, done []*Job
 	for _, id := range sortedJobs(w.Jobs) {
 		switch j := w.Jobs[id]; {
-		case j.Told == core.Complete:
+		case j.Told == core.JobDone:
 			done = append(done, j)
 		case j.Accepted && !j.Over():
 			unfinished = append(unfinished, j)
@@ -186,28 +186,28 @@
 	}
 	switch kind := w.Rng.IntN(6); {
 	case kind == 0 && len(unfinished) > 0:
-		w.repeat(n, unfinished[w.Rng.IntN(len(unfinished))], counts(&w.Users.Repeats, 200))
+		w.repeat(node, unfinished[w.Rng.IntN(len(unfinished))], counts(&w.Users.Repeats, 200))
 	case kind == 1 && len(unfinished) > 0:
 		j := unfinished[w.Rng.IntN(len(unfinished))]
-		w.send(n, j.Spec.ID, without(j.Spec, field), counts(&w.Users.Repeats, 200))
+		w.send(node, j.Spec.ID, without(j.Spec, field), counts(&w.Users.Repeats, 200))
 	case kind == 2 && len(done) > 0:
 		id := done[w.Rng.IntN(len(done))].Spec.ID
-		w.user(n, id, func(req uint64) any { return core.Withdraw{Req: req, ID: id} }, counts(&w.Users.Stopped, 200))
+		w.user(node, id, func(req uint64) any { return core.JobCancellation{RequestID: req, ID: id} }, counts(&w.Users.Stopped, 200))
 	case kind == 3:
-		w.ask(n, fmt.Sprintf("job-%d", 900000+w.Rng.IntN(1000)), counts(&w.Users.Nobodys, 404))
+		w.ask(node, fmt.Sprintf("job-%d", 900000+w.Rng.IntN(1000)), counts(&w.Users.Nobodys, 404))
 	default:
 		w.odd++
-		s := core.Spec{ID: fmt.Sprintf("job-%d", 800000+w.odd), Class: "odd", Team: w.Cfg.Teams[0].Name, Tasks: 1,
-			Need: core.Amount{Cores: 1, Mem: 1}, Spot: true, Image: "img"}
+		s := core.JobSpec{ID: fmt.Sprintf("job-%d", 800000+w.odd), Class: "odd", Team: w.Cfg.Teams[0].Name, Tasks: 1,
+			Need: core.Resources{Cores: 1, MemoryGB: 1}, Spot: true, Image: "img"}
 		if kind == 4 {
-			s.Need.Mem, field = 1e6, ""
+			s.Need.MemoryGB, field = 1e6, ""
 		}
 		w.SubmitBad(s, without(s, field))
 	}
 }
 
 // SubmitBad has a user submit what can't run or lacks a field, until it is refused.
-func (w *World) SubmitBad(s core.Spec, body []byte) *Job {
+func (w *World) SubmitBad(s core.JobSpec, body []byte) *Job {
 	job := &Job{Spec: s, Bad: true, Finished: map[int]bool{}, Saved: map[int]time.Duration{}, Came: w.Now}
 	w.Jobs[s.ID] = job
 	var try func()
--- a/internal/fake/waiting.go
+++ b/internal/fake/waiting.go
@@ -20,22 +20,22 @@
 )
 
 // allowed says whether a job's tasks may be on a machine, whatever else is there.
-func (k *Worker) allowed(s *core.Spec) bool {
+func (k *Worker) allowed(s *core.JobSpec) bool {
 	return (s.Zone == "" || s.Zone == k.zone) && (s.Spot || !k.spot) &&
-		(len(s.Types) == 0 || slices.Contains(s.Types, k.typ)) && within(s.Need, k.kind().Total)
+		(len(s.Types) == 0 || slices.Contains(s.Types, k.typ)) && within(s.Need, k.kind().Capacity)
 }
 
 // fit says whether a machine can take work: it runs, it hears a controller, nobody takes
 // it away, and it works as it should.
 func (k *Worker) fit() bool {
-	return k.started && !k.gone && k.notice == 0 && k.token > 0 && k.w.Now >= k.hangUntil && !k.Faulty && k.Slow < 1.5
+	return k.started && !k.gone && k.spotNotice == 0 && k.token > 0 && k.w.Now >= k.hangUntil && !k.Faulty && k.Slow < 1.5
 }
 
 // limit is a team's limit; none for a team that is not known.
-func (w *World) limit(team string) core.Amount {
+func (w *World) limit(team string) core.Resources {
 	i := slices.IndexFunc(w.Cfg.Teams, func(t core.Team) bool { return t.Name == team })
 	if i < 0 {
-		return core.Amount{}
+		return core.Resources{}
 	}
 	return w.Cfg.Teams[i].Limit
 }
@@ -43,44 +43,44 @@
 // limited says whether a team has any limit.
 func (w *World) limited(team string) bool {
 	lim := w.limit(team)
-	return lim.Cores > 0 || lim.Cards > 0
+	return lim.Cores > 0 || lim.GPUs > 0
 }
 
 // allows says whether a team may use so much.
-func (w *World) allows(team string, used core.Amount) bool {
+func (w *World) allows(team string, used core.Resources) bool {
 	lim := w.limit(team)
-	return (lim.Cores == 0 || used.Cores <= lim.Cores+1e-6) && (lim.Cards == 0 || used.Cards <= lim.Cards+1e-6)
+	return (lim.Cores == 0 || used.Cores <= lim.Cores+1e-6) && (lim.GPUs == 0 || used.GPUs <= lim.GPUs+1e-6)
 }
 
 // cancelled judges a start after its job's user was told that it is cancelled.
-func (r *Referee) cancelled(job *Job, id core.TaskID, k *Worker) {
+func (r *Referee) cancelled(job *Job, id core.TaskID, worker *Worker) {
 	if job.Cancelled == 0 || r.w.Now == job.Cancelled {
 		return
 	}
 	r.AfterCancel++
-	if r.w.Calm+cancelledStart < job.Cancelled && r.w.Now > job.Cancelled+cancelledStart {
-		r.broken("started_cancelled", "%v starts on %s %v after its user was told", id, k.name, r.w.Now-job.Cancelled)
+	if r.w.FaultsOverAt+cancelledStart < job.Cancelled && r.w.Now > job.Cancelled+cancelledStart {
+		r.broken("started_cancelled", "%v starts on %s %v after its user was told", id, worker.name, r.w.Now-job.Cancelled)
 	}
 }
 
 // placed is what is on machines, in any state but ended.
 type placed struct {
 	tasks map[string][]*Worker // by job, one machine a task
-	used  map[string]core.Amount
+	used  map[string]core.Resources
 }
 
 func (w *World) placed() placed {
-	p := placed{map[string][]*Worker{}, map[string]core.Amount{}}
+	p := placed{map[string][]*Worker{}, map[string]core.Resources{}}
 	names := make([]string, 0, len(w.Workers))
 	for name := range w.Workers {
 		names = append(names, name)
 	}
 	sort.Strings(names)
 	for _, name := range names {
-		k := w.Workers[name]
-		for id, t := range k.tasks {
-			if job := w.Jobs[id.Job]; job != nil && t.state != core.Ended {
-				p.tasks[id.Job] = append(p.tasks[id.Job], k)
+		worker := w.Workers[name]
+		for id, t := range worker.tasks {
+			if job := w.Jobs[id.Job]; job != nil && t.state != core.TaskExited {
+				p.tasks[id.Job] = append(p.tasks[id.Job], worker)
 				p.used[job.Spec.Team] = plus(p.used[job.Spec.Team], job.Spec.Need)
 			}
 		}
@@ -96,7 +96,7 @@
 		return
 	}
 	r.lookAt = w.Now + time.Second
-	calm, all := w.Now > w.Calm, placed{}
+	calm, all := w.Now > w.FaultsOverAt, placed{}
 	if calm {
 		all = w.placed()
 	}
@@ -104,7 +104,7 @@
 		job := w.Jobs[id]
 		on := all.tasks[id]
 		missing := job.Spec.Tasks - len(job.Finished) - len(on)
-		if !calm || !job.Accepted || job.Over() || job.AskedStop || job.Broken || missing <= 0 {
+		if !calm || !job.Accepted || job.Over() || job.CancelRequested || job.Broken || missing <= 0 {
 			job.Stuck, job.Short = 0, 0
 			continue
 		}
@@ -133,21 +133,21 @@
 // explain logs what the controllers say of a job that waits, and what it could use.
 func (w *World) explain(job *Job) {
 	w.Log("%+v", job.Spec)
-	for _, n := range w.Nodes {
-		if e, ok := n.Core.Explain(job.Spec.ID); ok && n.up {
-			w.Log("%s at %s: %+v", job.Spec.ID, n.Name, e)
+	for _, node := range w.Nodes {
+		if e, ok := node.Core.Explain(job.Spec.ID); ok && node.up {
+			w.Log("%s at %s: %+v", job.Spec.ID, node.Name, e)
 		}
 	}
-	for _, k := range w.Alive() {
-		if k.fit() && k.allowed(&job.Spec) {
-			w.Log("%s %s in %s uses %v", k.name, k.typ, k.zone, k.used(nil))
+	for _, worker := range w.Alive() {
+		if worker.fit() && worker.allowed(&job.Spec) {
+			w.Log("%s %s in %s uses %v", worker.name, worker.typ, worker.zone, worker.used(nil))
 		}
 	}
 }
 
 // roomFor says whether machines that are up have room for one more of a job's tasks; for
 // all of them, if it is a gang.
-func (w *World) roomFor(job *Job, on []*Worker, used core.Amount) bool {
+func (w *World) roomFor(job *Job, on []*Worker, used core.Resources) bool {
 	s, n := &job.Spec, 1
 	if s.Gang {
 		n = s.Tasks
@@ -160,9 +160,9 @@
 		return false
 	}
 	room := map[string]int{}
-	for _, k := range w.Workers {
-		if k.fit() && k.allowed(s) && zoneAllows(s, on, k.zone) {
-			room[k.zone] += k.tasksMore(s.Need, n)
+	for _, worker := range w.Workers {
+		if worker.fit() && worker.allowed(s) && zoneAllows(s, on, worker.zone) {
+			room[worker.zone] += worker.tasksMore(s.Need, n)
 		}
 	}
 	for _, fits := range room {
@@ -174,8 +174,8 @@
 }
 
 // tasksMore is how many more tasks of need a machine holds, up to n.
-func (k *Worker) tasksMore(need core.Amount, n int) int {
-	sum := core.Amount{}
+func (k *Worker) tasksMore(need core.Resources, n int) int {
+	sum := core.Resources{}
 	for i := range n {
 		if sum = plus(sum, need); !k.holds(sum, nil) {
 			return i
@@ -185,18 +185,18 @@
 }
 
 // zoneAllows says whether one more task may be in a zone, given where the others are.
-func zoneAllows(s *core.Spec, on []*Worker, zone string) bool {
+func zoneAllows(s *core.JobSpec, on []*Worker, zone string) bool {
 	same := 0
-	for _, k := range on {
-		if k.zone == zone {
+	for _, worker := range on {
+		if worker.zone == zone {
 			same++
 		}
 	}
-	return (!s.OneZone || same == len(on)) && (!s.Apart || same < (s.Tasks+1)/2)
+	return (!s.OneZone || same == len(on)) && (!s.SpreadZones || same < (s.Tasks+1)/2)
 }
 
 // rentable says whether the cloud has a machine for one more of a job's tasks.
-func (w *World) rentable(job *Job, on []*Worker, used core.Amount) bool {
+func (w *World) rentable(job *Job, on []*Worker, used core.Resources) bool {
 	s := &job.Spec
 	if !w.allows(s.Team, plus(used, s.Need)) {
 		return false
@@ -204,8 +204,8 @@
 	for _, t := range w.Cloud.Types {
 		for _, z := range t.Zones {
 			for _, spot := range []bool{false, true} {
-				k := &Worker{w: w, typ: t.Name, zone: z, spot: spot}
-				if w.Cloud.Room[roomKey(t.Name, z, spot)] > 0 && k.allowed(s) && zoneAllows(s, on, z) {
+				worker := &Worker{w: w, typ: t.Name, zone: z, spot: spot}
+				if w.Cloud.Room[roomKey(t.Name, z, spot)] > 0 && worker.allowed(s) && zoneAllows(s, on, z) {
 					return true
 				}
 			}
--- a/internal/fake/waiting_test.go
+++ b/internal/fake/waiting_test.go
@@ -16,10 +16,10 @@
 	w.Nodes = nil // nobody does anything
 	w.Cloud.Room = map[string]int{}
 	w.Now = time.Second
-	k := newWorker(w, "vm-1", "large", "a", false)
-	k.started, k.token = true, 1
-	w.Workers[k.name] = k
-	add := func(id string, tasks int, change func(*core.Spec)) *Job {
+	worker := newWorker(w, "vm-1", "large", "a", false)
+	worker.started, worker.token = true, 1
+	w.Workers[worker.name] = worker
+	add := func(id string, tasks int, change func(*core.JobSpec)) *Job {
 		s := spec(id, "red", tasks, 4)
 		if change != nil {
 			change(&s)
@@ -40,22 +40,22 @@
 	}
 	cases := []struct {
 		name   string
-		change func(*core.Spec)
+		change func(*core.JobSpec)
 		meet   func(*Job)
 		seen   bool
 	}{
 		{"room for it", nil, nil, true},
-		{"another zone", func(s *core.Spec) { s.Zone = "b" }, nil, false},
-		{"no cards there", func(s *core.Spec) { s.Need.Cards = 1 }, nil, false},
-		{"a gang too large", func(s *core.Spec) { s.Gang, s.Tasks = true, 5 }, nil, false},
-		{"a gang that fits", func(s *core.Spec) { s.Gang, s.Tasks = true, 4 }, nil, true},
-		{"cancelled", nil, func(j *Job) { j.AskedStop = true }, false},
-		{"over the limit", func(s *core.Spec) { s.Need.Cores = 16; s.Team = "blue" }, func(*Job) { w.Cfg.Teams[1].Limit.Cores = 15 }, false},
+		{"another zone", func(s *core.JobSpec) { s.Zone = "b" }, nil, false},
+		{"no cards there", func(s *core.JobSpec) { s.Need.GPUs = 1 }, nil, false},
+		{"a gang too large", func(s *core.JobSpec) { s.Gang, s.Tasks = true, 5 }, nil, false},
+		{"a gang that fits", func(s *core.JobSpec) { s.Gang, s.Tasks = true, 4 }, nil, true},
+		{"cancelled", nil, func(j *Job) { j.CancelRequested = true }, false},
+		{"over the limit", func(s *core.JobSpec) { s.Need.Cores = 16; s.Team = "blue" }, func(*Job) { w.Cfg.Teams[1].Limit.Cores = 15 }, false},
 		{"cards over the limit", nil, func(j *Job) {
-			w.Cloud.Types[1].Total.Cards, j.Spec.Need.Cards, w.Cfg.Teams[0].Limit.Cards = 4, 2, 1
+			w.Cloud.Types[1].Capacity.GPUs, j.Spec.Need.GPUs, w.Cfg.Teams[0].Limit.GPUs = 4, 2, 1
 		}, false},
-		{"cards within it", func(s *core.Spec) { s.Need.Cards = 1 }, nil, true},
-		{"taken away soon", nil, func(*Job) { k.notice = time.Hour }, false},
+		{"cards within it", func(s *core.JobSpec) { s.Need.GPUs = 1 }, nil, true},
+		{"taken away soon", nil, func(*Job) { worker.spotNotice = time.Hour }, false},
 	}
 	for _, c := range cases {
 		job := add("job-1", 1, c.change)
@@ -70,52 +70,52 @@
 			assert.Empty(t, got, c.name)
 		}
 	}
-	k.notice = 0
-	w.Calm = w.Now + time.Minute
+	worker.spotNotice = 0
+	w.FaultsOverAt = w.Now + time.Minute
 	add("job-1", 1, nil)
 	assert.Empty(t, after(time.Minute+waitAtMost), "while there is trouble, and for a while after it")
 	assert.NotEmpty(t, after(4*time.Second))
 
 	delete(w.Jobs, "job-1")
-	k.gone = true // machines can be had, though
+	worker.gone = true // machines can be had, though
 	w.Cloud.Room[roomKey("small", "b", true)] = 1
-	add("job-2", 2, func(s *core.Spec) { s.Service = true })
+	add("job-2", 2, func(s *core.JobSpec) { s.Service = true })
 	assert.Empty(t, after(replicaBy))
 	missing := after(3 * time.Second)
 	require.Len(t, missing, 1)
 	assert.Contains(t, missing[0], "replicas_missing: job-2 lacks 2")
 
-	k.gone = false
+	worker.gone = false
 	job, at := add("job-3", 9, nil), func(i int) core.TaskID { return core.TaskID{Job: "job-3", Index: i} }
 	job.Cancelled = w.Now
 	w.Now += cancelledStart
-	w.Referee.on(at(0), k)
+	w.Referee.on(at(0), worker)
 	require.Empty(t, w.Referee.Broken, "a command that was under way")
 	w.Now++
-	w.Referee.on(at(1), k)
+	w.Referee.on(at(1), worker)
 	require.Len(t, w.Referee.Broken, 1)
 	assert.Contains(t, w.Referee.Broken[0], "started_cancelled")
 	assert.Equal(t, 2, w.Referee.AfterCancel)
-	w.Referee.Broken, job.Cancelled, w.Calm = nil, w.Now, w.Now
+	w.Referee.Broken, job.Cancelled, w.FaultsOverAt = nil, w.Now, w.Now
 	w.Now += cancelledStart + time.Second
-	w.Referee.on(at(2), k)
+	w.Referee.on(at(2), worker)
 	assert.Empty(t, w.Referee.Broken, "in trouble only cancel_s counts")
 
 	card := spec("job-4", "red", 3, 1)
-	card.Need.Cards = 1
+	card.Need.GPUs = 1
 	w.Jobs["job-4"] = &Job{Spec: card, Accepted: true}
-	w.Cfg.Teams[0].Limit.Cards = 2
+	w.Cfg.Teams[0].Limit.GPUs = 2
 	for i := range 2 {
-		w.Referee.on(core.TaskID{Job: "job-4", Index: i}, k)
+		w.Referee.on(core.TaskID{Job: "job-4", Index: i}, worker)
 	}
 	require.Empty(t, w.Referee.Broken)
-	w.Referee.on(core.TaskID{Job: "job-4", Index: 2}, k)
+	w.Referee.on(core.TaskID{Job: "job-4", Index: 2}, worker)
 	require.Len(t, w.Referee.Broken, 1)
 	assert.Contains(t, w.Referee.Broken[0], "quota: red uses")
 	w.Referee.Broken = nil
-	w.Cloud.Types[1].Total.Cards = 0
-	w.Cfg.Teams[0].Limit.Cards = 0
-	w.Referee.on(core.TaskID{Job: "job-4", Index: 2}, k)
+	w.Cloud.Types[1].Capacity.GPUs = 0
+	w.Cfg.Teams[0].Limit.GPUs = 0
+	w.Referee.on(core.TaskID{Job: "job-4", Index: 2}, worker)
 	require.Len(t, w.Referee.Broken, 1)
 	assert.Contains(t, w.Referee.Broken[0], "wrong_place", "no cards there")
 }
@@ -125,33 +125,33 @@
 	for _, n := range w.Nodes {
 		n.Crash()
 	}
-	w.Cloud.Types[1].CacheGB, w.Cloud.Types[1].GBPerS = 3, 1
-	k := newWorker(w, "vm-1", "large", "a", false)
-	w.Workers[k.name] = k
+	w.Cloud.Types[1].CacheGB, w.Cloud.Types[1].FetchGBPerSecond = 3, 1
+	worker := newWorker(w, "vm-1", "large", "a", false)
+	w.Workers[worker.name] = worker
 	launch := func(id, image string, gb float64) *running {
 		s := spec(id, "red", 1, 1)
 		s.Image, s.ImageGB = image, gb
 		w.Jobs[id] = &Job{Spec: s, Run: time.Hour, Finished: map[int]bool{}, Saved: map[int]time.Duration{}}
-		k.launch(core.Order{Task: core.TaskID{Job: id}, Attempt: 1}, nil)
-		return k.tasks[core.TaskID{Job: id}]
+		worker.launch(core.Command{Task: core.TaskID{Job: id}, Attempt: 1}, nil)
+		return worker.tasks[core.TaskID{Job: id}]
 	}
 	one, two, same := launch("job-1", "x", 1), launch("job-2", "y", 2), launch("job-3", "x", 1)
 	w.Run(1900 * time.Millisecond)
-	assert.Equal(t, core.Fetching, one.state, "it has half the rate")
+	assert.Equal(t, core.TaskFetching, one.state, "it has half the rate")
 	w.Run(200 * time.Millisecond)
-	assert.Equal(t, []int{core.Running, core.Running, core.Fetching}, []int{one.state, same.state, two.state}, "one fetch serves both")
+	assert.Equal(t, []int{core.TaskRunning, core.TaskRunning, core.TaskFetching}, []int{one.state, same.state, two.state}, "one fetch serves both")
 	w.Run(time.Second)
-	assert.Equal(t, core.Running, two.state, "alone it has all of it")
-	k.end(two, core.Stopped)
+	assert.Equal(t, core.TaskRunning, two.state, "alone it has all of it")
+	worker.end(two, core.ExitStopped)
 	third := launch("job-4", "z", 1.5)
 	gone := launch("job-5", "never", 100)
-	k.end(gone, core.Stopped) // given up: it takes nothing of the rate any more
+	worker.end(gone, core.ExitStopped) // given up: it takes nothing of the rate any more
 	w.Run(1600 * time.Millisecond)
-	assert.Equal(t, core.Running, third.state)
+	assert.Equal(t, core.TaskRunning, third.state)
 	again := launch("job-6", "y", 2)
 	w.Run(100 * time.Millisecond)
-	assert.Equal(t, core.Fetching, again.state, "its image had to go")
+	assert.Equal(t, core.TaskFetching, again.state, "its image had to go")
 	kept := launch("job-7", "x", 1)
 	w.Run(time.Millisecond)
-	assert.Equal(t, core.Running, kept.state, "what is in use stays")
+	assert.Equal(t, core.TaskRunning, kept.state, "what is in use stays")
 }
--- a/internal/fake/walk.go
+++ b/internal/fake/walk.go
@@ -10,16 +10,16 @@
 // Pair is a meeting that the walk plays: a trouble at a phase of a step, and perhaps the
 // end of the controller concerned a moment later.
 type Pair struct {
-	Step    Step
-	Phase   Phase
-	Trouble string
-	Ends    bool
-	Nth     int // which occurrence of the step
+	Step  Step
+	Phase Phase
+	Fault string
+	Ends  bool
+	Nth   int // which occurrence of the step
 }
 
 // String names the pair.
 func (p Pair) String() string {
-	s := fmt.Sprintf("%s %s #%d x %s", p.Phase, p.Step, p.Nth, p.Trouble)
+	s := fmt.Sprintf("%s %s #%d x %s", p.Phase, p.Step, p.Nth, p.Fault)
 	if p.Ends {
 		s += " and its owner ends"
 	}
@@ -40,11 +40,11 @@
 // the small day brings about.
 func Walk(occurrences int) iter.Seq[Pair] {
 	return func(yield func(Pair) bool) {
-		seen := SmallDay().Play(nil).Seen
+		seen := SmallDay().Play(nil).StepsSeen
 		for _, step := range Steps {
 			for i := range occurrences {
 				n := 1 + int((float64(i)+0.7)/float64(occurrences)*float64(seen[step]))
-				for _, t := range Troubles {
+				for _, t := range Faults {
 					for _, phase := range Phases {
 						for _, ends := range []bool{false, true} {
 							if !yield(Pair{step, phase, t.Name, ends, min(n, max(seen[step], 1))}) {
@@ -59,22 +59,22 @@
 }
 
 // WalkSize is how many pairs Walk goes over.
-func WalkSize(occurrences int) int { return len(Steps) * occurrences * len(Troubles) * len(Phases) * 2 }
+func WalkSize(occurrences int) int { return len(Steps) * occurrences * len(Faults) * len(Phases) * 2 }
 
 // Script is the small day on which the pair is played. Without its strikes it brings about
 // every step.
 func (p Pair) Script() Script {
 	s := SmallDay()
-	long, ok := usual[p.Trouble]
+	long, ok := usual[p.Fault]
 	if !ok {
 		long = usualElse
 	}
-	at := Strike{Step: p.Step, Phase: p.Phase, N: p.Nth}
+	at := InjectedFault{Step: p.Step, Phase: p.Phase, N: p.Nth}
 	hit := at
-	hit.Trouble, hit.For = p.Trouble, long
+	hit.Fault, hit.For = p.Fault, long
 	s.Steps = append(s.Steps, hit)
 	if p.Ends {
-		at.Trouble, at.For, at.Delay = "restart", 6, 1.2
+		at.Fault, at.For, at.Delay = "restart", 6, 1.2
 		s.Steps = append(s.Steps, at)
 	}
 	return s
@@ -85,21 +85,21 @@
 // cancelled while it runs, and machines come and go.
 func SmallDay() Script {
 	job := func(at float64, id, team string, tasks int, cores, run float64, change func(*Request)) Request {
-		r := Request{At: at, ID: id, Run: run, Spec: core.Spec{Class: "work", Team: team, Priority: 1, Tasks: tasks,
-			Need: core.Amount{Cores: cores, Mem: 1}, Spot: true, Image: "x", ImageGB: 0.5, Estimate: run}}
+		r := Request{At: at, ID: id, Run: run, Spec: core.JobSpec{Class: "work", Team: team, Priority: 1, Tasks: tasks,
+			Need: core.Resources{Cores: cores, MemoryGB: 1}, Spot: true, Image: "x", ImageGB: 0.5, EstimateSeconds: run}}
 		if change != nil {
 			change(&r)
 		}
 		return r
 	}
 	return Script{Seed: 1, World: Setting{Room: 1, Boot: [2]float64{2, 6}},
-		Steps: []Strike{{At: 12, Trouble: "restart", For: 9, Node: "node-0"}}, // claim, hand over
+		Steps: []InjectedFault{{At: 12, Fault: "restart", For: 9, Node: "node-0"}}, // claim, hand over
 		Jobs: []Request{
 			job(3, "job-1", "red", 6, 4, 9, nil),
 			job(3.5, "job-2", "blue", 3, 4, 25, func(r *Request) { r.Cancel = 16 }),
 			job(4, "job-3", "blue", 4, 2, 8, func(r *Request) { r.Spec.Zone = "b" }),
-			job(5, "job-4", "red", 3, 8, 12, func(r *Request) { r.Spec.Apart = true }),
-			job(6, "job-5", "red", 2, 1, 0, func(r *Request) { r.Spec.Service, r.Spec.Estimate, r.Cancel = true, 0, 40 }),
+			job(5, "job-4", "red", 3, 8, 12, func(r *Request) { r.Spec.SpreadZones = true }),
+			job(6, "job-5", "red", 2, 1, 0, func(r *Request) { r.Spec.Service, r.Spec.EstimateSeconds, r.Cancel = true, 0, 40 }),
 			job(9, "job-6", "red", 12, 2, 7, func(r *Request) { r.Spec.Image = "y" }),
 			job(14, "job-7", "blue", 6, 4, 6, nil),
 			job(20, "job-8", "red", 2, 4, 5, func(r *Request) { r.Spec.OneZone = true }),
--- a/internal/fake/walk_test.go
+++ b/internal/fake/walk_test.go
@@ -15,17 +15,17 @@
 		if i++; i%53 != 0 {
 			continue
 		}
-		troubles[p.Trouble], steps[p.Step] = true, true
+		troubles[p.Fault], steps[p.Step] = true, true
 		t.Run(p.String(), func(t *testing.T) {
 			t.Parallel()
 			v := p.Script().Play(nil)
 			assert.Empty(t, v.Broken, p.Script().String())
-			assert.NotContains(t, v.Struck, false, "the moment came")
+			assert.NotContains(t, v.Injected, false, "the moment came")
 		})
 	}
 	assert.Equal(t, WalkSize(1), i)
 	assert.Len(t, steps, len(Steps))
-	assert.Len(t, troubles, len(Troubles))
+	assert.Len(t, troubles, len(Faults))
 }
 
 func TestTheSmallDayBringsAboutEveryStep(t *testing.T) {
@@ -39,7 +39,7 @@
 		phases[m.Step][m.Phase]++
 	}
 	s.submit(w)
-	w.After(seconds(s.Steps[0].At), func() { s.Steps[0].strike(w, Moment{}) })
+	w.After(seconds(s.Steps[0].At), func() { s.Steps[0].inject(w, Moment{}) })
 	w.Run(2 * afterwards)
 	for _, step := range Steps {
 		for _, phase := range Phases {
--- a/internal/fake/worker.go
+++ b/internal/fake/worker.go
@@ -13,23 +13,23 @@
 	name, typ, zone string
 	spot            bool
 
-	born, diedAt time.Duration
-	started      bool
-	gone         bool
-	deleted      bool
-	hangUntil    time.Duration
-	muteUntil    time.Duration // it opens no connection until then
-	Slow         float64       // factor on run times
-	Faulty       bool          // every task fails on it
-	notice       time.Duration // when the machine is taken, 0: not known
+	born, diedAt     time.Duration
+	started          bool
+	gone             bool
+	deleted          bool
+	hangUntil        time.Duration
+	outboundCutUntil time.Duration // it opens no connection until then
+	Slow             float64       // factor on run times
+	Faulty           bool          // every task fails on it
+	spotNotice       time.Duration // when the machine is taken, 0: not known
 
-	session, seq, token uint64
-	leaseFrom           time.Duration
-	node                int
-	flying              bool
-	lastSent            time.Duration
-	nextAt              time.Duration
-	dirty               bool
+	incarnation, seq, token uint64
+	leaseFrom               time.Duration
+	node                    int
+	heartbeatPending        bool
+	lastSent                time.Duration
+	nextAt                  time.Duration
+	dirty                   bool
 
 	tasks map[core.TaskID]*running
 	disk  disk
@@ -46,7 +46,7 @@
 }
 
 func newWorker(w *World, name, typ, zone string, spot bool) *Worker {
-	return &Worker{w: w, name: name, typ: typ, zone: zone, spot: spot, born: w.Now, session: 1, Slow: 1,
+	return &Worker{w: w, name: name, typ: typ, zone: zone, spot: spot, born: w.Now, incarnation: 1, Slow: 1,
 		tasks: map[core.TaskID]*running{}}
 }
 
@@ -66,7 +66,7 @@
 		// A hanging machine may go on with its tasks only within its lease.
 		k.expire()
 		if k.w.Now >= k.hangUntil {
-			k.maybeBeat()
+			k.maybeHeartbeat()
 		}
 		k.w.After(100*time.Millisecond, tick)
 	}
@@ -83,19 +83,19 @@
 
 // Hang stops the machine for a while.
 func (k *Worker) Hang(d time.Duration) {
-	k.w.trouble(d)
+	k.w.extendFaults(d)
 	k.hangUntil = k.w.Now + d
 }
 
-// Recall announces that the cloud takes the machine away.
-func (k *Worker) Recall(notice time.Duration) {
-	k.notice, k.dirty = k.w.Now+notice, true
+// GiveSpotNotice announces that the cloud takes the machine away.
+func (k *Worker) GiveSpotNotice(notice time.Duration) {
+	k.spotNotice, k.dirty = k.w.Now+notice, true
 	k.w.After(notice, func() { k.w.Cloud.Take(k.name) })
 }
 
 func (k *Worker) forget() {
 	for id, t := range k.tasks {
-		k.bookmark(t)
+		k.checkpoint(t)
 		k.w.Referee.off(id, k)
 		t.epoch++
 	}
@@ -106,20 +106,20 @@
 
 // expire ends the session when its lease has run out.
 func (k *Worker) expire() {
-	if k.started && !k.gone && k.w.Now > k.leaseFrom+k.w.Cfg.Lease {
+	if k.started && !k.gone && k.w.Now > k.leaseFrom+k.w.Cfg.WorkerLease {
 		k.forget()
-		k.session++
+		k.incarnation++
 		k.leaseFrom = k.w.Now
 		k.dirty = true
 	}
 }
 
-func (k *Worker) report() core.Report {
+func (k *Worker) status() core.WorkerStatus {
 	k.seq++
-	r := core.Report{Host: k.name, Addr: k.name, Type: k.typ, Zone: k.zone, Spot: k.spot,
-		Session: k.session, Seq: k.seq, Token: k.token, Notice: -1}
-	if k.notice > 0 {
-		r.Notice = max((k.notice - k.w.Now).Seconds(), 0)
+	r := core.WorkerStatus{Host: k.name, Address: k.name, Type: k.typ, Zone: k.zone, Spot: k.spot,
+		Incarnation: k.incarnation, Seq: k.seq, Token: k.token, SpotNotice: -1}
+	if k.spotNotice > 0 {
+		r.SpotNotice = max((k.spotNotice - k.w.Now).Seconds(), 0)
 	}
 	var ids []core.TaskID
 	for id := range k.tasks {
@@ -130,67 +130,67 @@
 	})
 	for _, id := range ids {
 		t := k.tasks[id]
-		r.Tasks = append(r.Tasks, core.Reported{Task: id, Attempt: t.attempt, State: t.state, Cause: t.cause})
+		r.Tasks = append(r.Tasks, core.TaskStatus{Task: id, Attempt: t.attempt, State: t.state, Cause: t.cause})
 	}
 	return r
 }
 
-func (k *Worker) maybeBeat() {
+func (k *Worker) maybeHeartbeat() {
 	since := k.w.Now - k.lastSent
-	if k.flying || k.w.Now < k.nextAt || since < 500*time.Millisecond || since < k.w.Cfg.Report && !k.dirty {
+	if k.heartbeatPending || k.w.Now < k.nextAt || since < 500*time.Millisecond || since < k.w.Cfg.HeartbeatInterval && !k.dirty {
 		return
 	}
-	if k.w.Now < k.muteUntil {
+	if k.w.Now < k.outboundCutUntil {
 		k.turn()
 		return
 	}
-	k.flying, k.dirty, k.lastSent = true, false, k.w.Now
-	rep, sent, session, node := k.report(), k.w.Now, k.session, k.w.Nodes[k.node]
-	k.reports(Before, rep)
-	k.w.keepCopy(k, rep)
+	k.heartbeatPending, k.dirty, k.lastSent = true, false, k.w.Now
+	status, sent, session, node := k.status(), k.w.Now, k.incarnation, k.w.Nodes[k.node]
+	k.heartbeatMoment(Before, status)
+	k.w.copyHeartbeat(k, status)
 	if k.w.Copies != nil {
 		for _, late := range k.w.Copies(k) {
 			k.w.After(late, func() {
 				if node.up {
-					node.ask(func(req uint64) any { return core.Beat{Req: req, Report: rep} }, func(any) {})
+					node.ask(func(req uint64) any { return core.Heartbeat{RequestID: req, Status: status} }, func(any) {})
 				}
 			})
 		}
 	}
 	k.w.rpc(k.name, node.Name, 4*time.Second, nil, func(answer func(any)) {
 		if !node.up {
-			answer(core.BeatReply{Status: 0})
+			answer(core.HeartbeatReply{Status: 0})
 			return
 		}
-		k.w.held(k, rep, func() {
-			node.ask(func(req uint64) any { return core.Beat{Req: req, Report: rep} },
-				func(res any) { k.w.held(k, res, func() { answer(res) }) })
-			k.reports(During, rep)
+		k.w.delayOnWire(k, status, func() {
+			node.ask(func(req uint64) any { return core.Heartbeat{RequestID: req, Status: status} },
+				func(res any) { k.w.delayOnWire(k, res, func() { answer(res) }) })
+			k.heartbeatMoment(During, status)
 		})
 	}, func(res any) {
-		k.w.reach(k.name, func(k *Worker) {
-			k.flying = false
-			r, ok := res.(core.BeatReply)
+		k.w.reach(k.name, func(worker *Worker) {
+			worker.heartbeatPending = false
+			r, ok := res.(core.HeartbeatReply)
 			switch {
 			case !ok:
-				k.turn()
-			case r.Status == 200 && (k.w.Now > sent+4*time.Second || session != k.session || r.Token < k.token):
+				worker.turn()
+			case r.Status == 200 && (worker.w.Now > sent+4*time.Second || session != worker.incarnation || r.Token < worker.token):
 				// Too late, of an earlier session or not entitled: dropped.
 			case r.Status == 200:
-				k.seen(r.Token)
-				k.leaseFrom = sent
-				k.execute(r.Orders)
-				k.reports(After, rep)
-			case r.Status == 421 && r.Foreman != "":
-				for i, n := range k.w.Nodes {
-					if n.Name == r.Foreman && i != k.node {
-						k.node, k.dirty = i, true
+				worker.seen(r.Token)
+				worker.leaseFrom = sent
+				worker.execute(r.Commands)
+				worker.heartbeatMoment(After, status)
+			case r.Status == 421 && r.Owner != "":
+				for i, n := range worker.w.Nodes {
+					if n.Name == r.Owner && i != worker.node {
+						worker.node, worker.dirty = i, true
 						return
 					}
 				}
-				k.turn()
+				worker.turn()
 			default:
-				k.turn()
+				worker.turn()
 			}
 		})
 	})
@@ -207,65 +207,65 @@
 	}
 }
 
-func (k *Worker) direct(op core.OrdersOp, answer func(any)) {
-	if op.Token < k.token || op.Session != k.session {
-		r := k.report()
-		answer(core.WorkerResult{Outcome: core.Refused, Report: &r})
+func (k *Worker) handleCommands(op core.SendCommands, answer func(any)) {
+	if op.Token < k.token || op.Incarnation != k.incarnation {
+		r := k.status()
+		answer(core.WorkerResult{Outcome: core.OutcomeRefused, Status: &r})
 		return
 	}
 	k.seen(op.Token)
-	k.execute(op.Orders)
-	r := k.report()
-	answer(core.WorkerResult{Outcome: core.OK, Report: &r})
+	k.execute(op.Commands)
+	r := k.status()
+	answer(core.WorkerResult{Outcome: core.OutcomeOK, Status: &r})
 }
 
-func (k *Worker) execute(orders []core.Order) {
+func (k *Worker) execute(orders []core.Command) {
 	for _, o := range orders {
 		t := k.tasks[o.Task]
 		same := t != nil && t.attempt == o.Attempt
 		switch {
-		case o.Verb == core.Launch && !same:
+		case o.Verb == core.VerbLaunch && !same:
 			k.launch(o, t)
-			k.w.orders(During, nil, k, []core.Order{o})
-		case o.Verb == core.Halt && same && t.state != core.Ended:
-			k.halt(t, o.Leeway)
-		case o.Verb == core.Clear && same && t.state == core.Ended:
+			k.w.commandMoments(During, nil, k, []core.Command{o})
+		case o.Verb == core.VerbStop && same && t.state != core.TaskExited:
+			k.stop(t, o.GracePeriod)
+		case o.Verb == core.VerbForget && same && t.state == core.TaskExited:
 			delete(k.tasks, o.Task)
-			k.w.orders(During, nil, k, []core.Order{o})
-			k.w.After(soon, func() { k.w.orders(After, nil, k, []core.Order{o}) })
+			k.w.commandMoments(During, nil, k, []core.Command{o})
+			k.w.After(soon, func() { k.w.commandMoments(After, nil, k, []core.Command{o}) })
 		}
 	}
 }
 
-// reports tells of a report with tasks, and once it has arrived of the ends in it.
-func (k *Worker) reports(phase Phase, rep core.Report) {
-	if len(rep.Tasks) > 0 {
+// heartbeatMoment tells of a report with tasks, and once it has arrived of the ends in it.
+func (k *Worker) heartbeatMoment(phase Phase, status core.WorkerStatus) {
+	if len(status.Tasks) > 0 {
 		k.w.moment(Moment{Reports, phase, nil, k, nil})
 	}
-	for _, t := range rep.Tasks {
-		if phase == During && t.Cause == core.Done {
+	for _, t := range status.Tasks {
+		if phase == During && t.Cause == core.ExitDone {
 			k.w.moment(Moment{End, After, nil, k, k.w.Jobs[t.Task.Job]})
 		}
 	}
 }
 
-// halt stops a task. One that saves does so when it has the time.
-func (k *Worker) halt(t *running, leeway float64) {
+// stop stops a task. One that saves does so when it has the time.
+func (k *Worker) stop(t *running, leeway float64) {
 	job := k.w.Jobs[t.id.Job]
-	if job != nil && job.Spec.Checkpoint > 0 && t.state == core.Running && leeway >= job.Spec.Save {
-		t.state, k.dirty = core.Saving, true
+	if job != nil && job.Spec.CheckpointSeconds > 0 && t.state == core.TaskRunning && leeway >= job.Spec.SaveSeconds {
+		t.state, k.dirty = core.TaskSaving, true
 		t.epoch++
 		saved := t.from + k.ran(t)
-		k.step(t, t.epoch, time.Duration(job.Spec.Save*float64(time.Second)), func() {
+		k.step(t, t.epoch, time.Duration(job.Spec.SaveSeconds*float64(time.Second)), func() {
 			job.save(t.id.Index, saved)
-			k.end(t, core.Stopped)
+			k.end(t, core.ExitStopped)
 		})
 		return
 	}
-	if t.state == core.Saving && leeway > 0 {
+	if t.state == core.TaskSaving && leeway > 0 {
 		return
 	}
-	k.end(t, core.Stopped)
+	k.end(t, core.ExitStopped)
 }
 
 // ran is how much of its run time a running task has behind it since it started.
@@ -273,42 +273,42 @@
 	return time.Duration(float64(k.w.Now-t.started) / k.Slow)
 }
 
-// bookmark keeps what a task saves by itself.
-func (k *Worker) bookmark(t *running) {
-	if job := k.w.Jobs[t.id.Job]; job != nil && job.Spec.Checkpoint > 0 && t.state == core.Running {
-		each := time.Duration(job.Spec.Checkpoint * float64(time.Second))
+// checkpoint keeps what a task saves by itself.
+func (k *Worker) checkpoint(t *running) {
+	if job := k.w.Jobs[t.id.Job]; job != nil && job.Spec.CheckpointSeconds > 0 && t.state == core.TaskRunning {
+		each := time.Duration(job.Spec.CheckpointSeconds * float64(time.Second))
 		job.save(t.id.Index, t.from+k.ran(t)/each*each)
 	}
 }
 
-func (k *Worker) launch(o core.Order, old *running) {
-	t := &running{id: o.Task, attempt: o.Attempt, state: core.Fetching}
+func (k *Worker) launch(o core.Command, old *running) {
+	t := &running{id: o.Task, attempt: o.Attempt, state: core.TaskFetching}
 	job := k.w.Jobs[o.Task.Job]
 	k.w.Log("%v %s launches %v attempt %d", k.w.Now, k.name, o.Task, o.Attempt)
 	k.dirty = true
-	if old != nil && old.state != core.Ended {
+	if old != nil && old.state != core.TaskExited {
 		return // in_use: the entry of the attempt that is there stays
 	}
 	k.tasks[o.Task] = t
 	if job == nil {
-		k.end(t, core.NoSuch)
+		k.end(t, core.ExitNoSuchTask)
 		return
 	}
 	if !k.holds(job.Spec.Need, t) {
-		k.end(t, core.NoRoom)
+		k.end(t, core.ExitNoRoom)
 		return
 	}
 	epoch := t.epoch
 	k.fetch(t, func() {
 		if job.Finished[o.Task.Index] {
-			k.end(t, core.Done)
+			k.end(t, core.ExitDone)
 			return
 		}
-		t.state, t.started, k.dirty = core.Running, k.w.Now, true
+		t.state, t.started, k.dirty = core.TaskRunning, k.w.Now, true
 		k.w.Referee.on(o.Task, k)
 		k.w.moment(Moment{Launch, After, nil, k, job})
 		if job.Broken || k.Faulty {
-			k.step(t, epoch, 700*time.Millisecond, func() { k.end(t, core.Failed) })
+			k.step(t, epoch, 700*time.Millisecond, func() { k.end(t, core.ExitFailed) })
 			return
 		}
 		if job.Spec.Service {
@@ -319,7 +319,7 @@
 		k.step(t, epoch, max(run-soon, 0), func() { k.w.moment(Moment{End, Before, nil, k, job}) })
 		k.step(t, epoch, run, func() {
 			job.Finished[o.Task.Index] = true
-			k.end(t, core.Done)
+			k.end(t, core.ExitDone)
 			k.w.ended(job)
 			k.w.moment(Moment{End, During, nil, k, job})
 		})
@@ -345,12 +345,12 @@
 
 func (k *Worker) end(t *running, cause int) {
 	k.w.Log("%v %s ends %v attempt %d cause %d", k.w.Now, k.name, t.id, t.attempt, cause)
-	if t.state == core.Running || t.state == core.Saving {
-		k.bookmark(t)
+	if t.state == core.TaskRunning || t.state == core.TaskSaving {
+		k.checkpoint(t)
 		k.w.Referee.off(t.id, k)
 	}
-	fetching := t.state == core.Fetching
-	t.state, t.cause, k.dirty = core.Ended, cause, true
+	fetching := t.state == core.TaskFetching
+	t.state, t.cause, k.dirty = core.TaskExited, cause, true
 	t.epoch++
 	if fetching { // it may have been the last to wait for its image
 		k.progress()
--- a/internal/fake/worker_troubles.go
+++ b/internal/fake/worker_troubles.go
@@ -7,47 +7,47 @@
 	"roadcleat/internal/core"
 )
 
-// held lets a worker's packet go on when Held says.
-func (w *World) held(k *Worker, what any, f func()) {
+// delayOnWire lets a worker's packet go on when Held says.
+func (w *World) delayOnWire(worker *Worker, what any, f func()) {
 	d := time.Duration(0)
-	if w.Held != nil && k != nil {
-		d = w.Held(k, what)
+	if w.DelayOnWire != nil && worker != nil {
+		d = w.DelayOnWire(worker, what)
 	}
 	switch {
 	case d > 0:
-		w.trouble(d)
-		w.Log("%v held for %v: %s %T %+v", w.Now, d, k.name, what, what)
+		w.extendFaults(d)
+		w.Log("%v held for %v: %s %T %+v", w.Now, d, worker.name, what, what)
 		w.After(d, f)
 	case d == 0:
 		f()
 	}
 }
 
-// launches says whether an order starts a task of the job.
-func launches(what any, job string) bool {
-	op, _ := what.(core.OrdersOp)
-	for _, o := range op.Orders {
-		if o.Verb == core.Launch && o.Task.Job == job {
+// isLaunchOf says whether an order starts a task of the job.
+func isLaunchOf(what any, job string) bool {
+	op, _ := what.(core.SendCommands)
+	for _, o := range op.Commands {
+		if o.Verb == core.VerbLaunch && o.Task.Job == job {
 			return true
 		}
 	}
 	return false
 }
 
-// hears brings the node a report of before. A report taken from its worker but not
+// receiveHeartbeat brings the node a report of before. A report taken from its worker but not
 // sent stands for one that the network held back or whose original it lost.
-func (n *Node) hears(rep core.Report) {
+func (n *Node) receiveHeartbeat(status core.WorkerStatus) {
 	if n.up {
-		n.ask(func(req uint64) any { return core.Beat{Req: req, Report: rep} }, func(any) {})
+		n.ask(func(req uint64) any { return core.Heartbeat{RequestID: req, Status: status} }, func(any) {})
 	}
 }
 
 // OnClaim has f told of each claim of a part at the moment it is carried out, before
 // its new owner hears of it.
 func (w *World) OnClaim(f func(node, zone string)) {
-	w.Store.Carried = append(w.Store.Carried, func(node string, t core.Txn, res core.CommitResult) {
-		for _, s := range t.Apply {
-			if zone, ok := strings.CutPrefix(s.Key, "part/"); ok && s.Value != nil && res.Outcome == core.OK {
+	w.Store.OnExecuted = append(w.Store.OnExecuted, func(node string, t core.Txn, res core.CommitResult) {
+		for _, s := range t.Mutations {
+			if zone, ok := strings.CutPrefix(s.Key, "part/"); ok && s.Value != nil && res.Outcome == core.OutcomeOK {
 				f(node, zone)
 			}
 		}
@@ -67,9 +67,9 @@
 // out after d.
 func (w *World) DelayWrite(d time.Duration, pick func(core.Txn) bool) *LateWrite {
 	late := &LateWrite{}
-	w.Store.Carried = append(w.Store.Carried, func(node string, t core.Txn, res core.CommitResult) {
-		if node == late.Node && !late.Over && res.Outcome == core.OK {
-			for _, s := range t.Apply {
+	w.Store.OnExecuted = append(w.Store.OnExecuted, func(node string, t core.Txn, res core.CommitResult) {
+		if node == late.Node && !late.Over && res.Outcome == core.OutcomeOK {
+			for _, s := range t.Mutations {
 				late.Overtaken = late.Overtaken || changes(late.Txn, s.Key)
 			}
 		}
@@ -78,7 +78,7 @@
 	w.Store.Lose = func(node string, t core.Txn) (bool, time.Duration) {
 		if late.Node == "" && pick(t) {
 			late.Node, late.Txn = node, t
-			w.trouble(d)
+			w.extendFaults(d)
 			w.After(d, func() {
 				late.Result = w.Store.apply(t)
 				late.Over = true
@@ -96,7 +96,7 @@
 // changes says whether a transaction changes a key, or any with the prefix if it ends
 // with a slash.
 func changes(t core.Txn, key string) bool {
-	for _, s := range t.Apply {
+	for _, s := range t.Mutations {
 		if s.Key == key || strings.HasSuffix(key, "/") && strings.HasPrefix(s.Key, key) {
 			return true
 		}
--- a/internal/fake/world.go
+++ b/internal/fake/world.go
@@ -29,22 +29,22 @@
 	OnEffect func(n *Node, effect any)
 	// Copies, if set, says after which times copies of a report arrive once more.
 	Copies func(k *Worker) []time.Duration
-	// Again, if set, says after how long a request is carried out a second time,
+	// RepeatRequest, if set, says after how long a request is carried out a second time,
 	// 0 for not at all. Orders come again only from a process that has ended.
-	Again func(node string, op any) time.Duration
-	// Held, if set, says how much longer than others a worker's packet is under way:
+	RepeatRequest func(node string, op any) time.Duration
+	// DelayOnWire, if set, says how much longer than others a worker's packet is under way:
 	// an order (core.OrdersOp) or its answer (core.WorkerResult), a report
 	// (core.Report) or its answer (core.BeatReply). Negative: it is lost.
-	Held func(k *Worker, what any) time.Duration
+	DelayOnWire func(k *Worker, what any) time.Duration
 	// Lag is how much longer than usual every packet is under way.
 	Lag time.Duration
-	// Overhear, if set, gets every message from one controller to another.
-	Overhear func(from, to string, m core.Message)
-	Users    Users // what users did beyond the ordinary
-	// Tells, if set, may change what a controller says to another on its way out.
-	Tells func(n *Node, m core.Message) core.Message
-	// Calm is when the last trouble is over; the referee asks more from then on.
-	Calm time.Duration
+	// OnPeerMessage, if set, gets every message from one controller to another.
+	OnPeerMessage func(from, to string, m core.Message)
+	Users         Users // what users did beyond the ordinary
+	// ChangePeerMessage, if set, may change what a controller says to another on its way out.
+	ChangePeerMessage func(n *Node, m core.Message) core.Message
+	// FaultsOverAt is when the last trouble is over; the referee asks more from then on.
+	FaultsOverAt time.Duration
 	// OnMoment, if set, hears of every moment of the protocols' steps.
 	OnMoment func(Moment)
 
@@ -89,13 +89,13 @@
 	return core.Config{
 		Zones: []string{"a", "b", "c"},
 		Teams: []core.Team{
-			{Name: "red", Guarantee: core.Amount{Cores: 16}, Limit: core.Amount{Cores: 40}},
-			{Name: "blue", Guarantee: core.Amount{Cores: 8}, Limit: core.Amount{Cores: 16}},
+			{Name: "red", Guarantee: core.Resources{Cores: 16}, Limit: core.Resources{Cores: 40}},
+			{Name: "blue", Guarantee: core.Resources{Cores: 8}, Limit: core.Resources{Cores: 16}},
 		},
-		Report: 3 * time.Second, Lease: 14 * time.Second, Cancel: 44 * time.Second, ListLag: 3 * time.Second,
-		TxnOps: 12, ValueBytes: 16 << 10,
-		Knobs: core.Knobs{FetchSPerGB: 5, Frontier: 32, KeepIdle: 25 * time.Second, Window: 40 * time.Second,
-			SpareShare: 0.2, SilentReturn: 14 * time.Second, Hold: 8 * time.Second, Grace: 2 * time.Second},
+		HeartbeatInterval: 3 * time.Second, WorkerLease: 14 * time.Second, CancelWithin: 44 * time.Second, ListLag: 3 * time.Second,
+		MaxTxnOps: 12, MaxValueBytes: 16 << 10,
+		Tuning: core.Tuning{FetchSecondsPerGB: 5, Frontier: 32, KeepIdle: 25 * time.Second, DemandWindow: 40 * time.Second,
+			SpareShare: 0.2, ReturnSilentAfter: 14 * time.Second, LeaseTTL: 8 * time.Second, TakeoverDelay: 2 * time.Second},
 	}
 }
 
@@ -109,11 +109,11 @@
 		cuts: map[[2]string]*cut{}, Cfg: cfg, Log: func(string, ...any) {}}
 	w.Referee = newReferee(w)
 	w.Store = newStore(w)
-	w.OnClaim(w.claimed)
+	w.OnClaim(w.deliverKeptCopies)
 	w.Cloud = newCloud(w)
 	for i, z := range controllers {
-		n := &Node{w: w, Name: fmt.Sprintf("node-%d", i), zone: z}
-		w.Nodes = append(w.Nodes, n)
+		node := &Node{w: w, Name: fmt.Sprintf("node-%d", i), zone: z}
+		w.Nodes = append(w.Nodes, node)
 	}
 	for _, n := range w.Nodes {
 		n.Start()
@@ -152,45 +152,45 @@
 // Cut interrupts the network between two hosts, both ways. With hold, packets
 // are delivered when it ends; otherwise they are lost.
 func (w *World) Cut(a, b string, d time.Duration, hold bool) {
-	w.trouble(d)
+	w.extendFaults(d)
 	c := &cut{hold, w.Now + d}
 	w.cuts[[2]string{a, b}], w.cuts[[2]string{b, a}] = c, c
 	w.Log("%v cut %s-%s for %v hold=%v", w.Now, a, b, d, hold)
 }
 
-// trouble notes that something is wrong for a while.
-func (w *World) trouble(d time.Duration) { w.Calm = max(w.Calm, w.Now+d) }
+// extendFaults notes that something is wrong for a while.
+func (w *World) extendFaults(d time.Duration) { w.FaultsOverAt = max(w.FaultsOverAt, w.Now+d) }
 
 // CutOneWay loses what one host sends to another; the way back stays open.
 func (w *World) CutOneWay(from, to string, d time.Duration) {
-	w.trouble(d)
+	w.extendFaults(d)
 	w.cuts[[2]string{from, to}] = &cut{false, w.Now + d}
 	w.Log("%v cut %s->%s for %v", w.Now, from, to, d)
 }
 
-// Deafen lets a machine's reports arrive while nothing that any controller says
+// CutInbound lets a machine's reports arrive while nothing that any controller says
 // reaches it.
-func (w *World) Deafen(k *Worker, d time.Duration) {
+func (w *World) CutInbound(worker *Worker, d time.Duration) {
 	for _, n := range w.Nodes {
-		w.CutOneWay(n.Name, k.name, d)
+		w.CutOneWay(n.Name, worker.name, d)
 	}
 }
 
-// Mute lets a machine open no connection to any controller, while theirs reach it
+// CutOutbound lets a machine open no connection to any controller, while theirs reach it
 // and are answered.
-func (w *World) Mute(k *Worker, d time.Duration) {
-	w.trouble(d)
-	w.Log("%v mute %s for %v", w.Now, k.name, d)
-	k.muteUntil = w.Now + d
+func (w *World) CutOutbound(worker *Worker, d time.Duration) {
+	w.extendFaults(d)
+	w.Log("%v mute %s for %v", w.Now, worker.name, d)
+	worker.outboundCutUntil = w.Now + d
 }
 
-// Alone cuts a controller from the state service and the other controllers, but
+// Isolate cuts a controller from the state service and the other controllers, but
 // not from its workers.
-func (w *World) Alone(n *Node, d time.Duration, hold bool) {
-	w.Cut(n.Name, "state", d, hold)
-	for _, o := range w.Nodes {
-		if o != n {
-			w.Cut(n.Name, o.Name, d, hold)
+func (w *World) Isolate(node *Node, d time.Duration, hold bool) {
+	w.Cut(node.Name, "state", d, hold)
+	for _, other := range w.Nodes {
+		if other != node {
+			w.Cut(node.Name, other.Name, d, hold)
 		}
 	}
 }
@@ -241,11 +241,11 @@
 	life int
 	up   bool
 	// It stands still until then: its clock runs on, and what comes waits for it.
-	frozen time.Duration
-	reqs   uint64
-	wait   map[uint64]func(any)
+	frozenUntil time.Duration
+	reqs        uint64
+	wait        map[uint64]func(any)
 
-	share    core.Share
+	share    core.BudgetShare
 	nextCall time.Duration
 }
 
@@ -254,13 +254,13 @@
 	if n.up {
 		return
 	}
-	n.up, n.frozen = true, 0
+	n.up, n.frozenUntil = true, 0
 	n.life++
 	cfg := n.w.Cfg
-	cfg.Label, cfg.Zone, cfg.Boot, cfg.Seed = n.Name, n.zone, uint64(n.life), uint64(len(n.Name))
-	for _, o := range n.w.Nodes {
-		if o != n {
-			cfg.Peers = append(cfg.Peers, core.Peer{Label: o.Name, Zone: o.zone})
+	cfg.Label, cfg.Zone, cfg.Epoch, cfg.Seed = n.Name, n.zone, uint64(n.life), uint64(len(n.Name))
+	for _, other := range n.w.Nodes {
+		if other != n {
+			cfg.Peers = append(cfg.Peers, core.PeerConfig{Label: other.Name, Zone: other.zone})
 		}
 	}
 	n.Core, n.wait = core.New(cfg), map[uint64]func(any){}
@@ -268,7 +268,7 @@
 	var tick func()
 	tick = func() {
 		if n.up && n.life == life {
-			n.settle()
+			n.advance()
 			n.w.After(50*time.Millisecond, tick)
 		}
 	}
@@ -283,44 +283,44 @@
 
 // Restart kills the process and starts it again after a while.
 func (n *Node) Restart(after time.Duration) {
-	n.w.trouble(after)
+	n.w.extendFaults(after)
 	n.Crash()
 	n.w.After(after, n.Start)
 }
 
 // Freeze has the process stand still for a while.
 func (n *Node) Freeze(d time.Duration) {
-	n.w.trouble(d)
+	n.w.extendFaults(d)
 	n.w.Log("%v freeze %s for %v", n.w.Now, n.Name, d)
-	n.frozen = n.w.Now + d
-	n.w.After(d, n.settle) // what is due comes before what waits, as it may
+	n.frozenUntil = n.w.Now + d
+	n.w.After(d, n.advance) // what is due comes before what waits, as it may
 }
 
-// thawed runs f in this life of the process: at once, or when it goes on.
-func (n *Node) thawed(f func()) {
-	if n.w.Now >= n.frozen {
+// whenRunning runs f in this life of the process: at once, or when it goes on.
+func (n *Node) whenRunning(f func()) {
+	if n.w.Now >= n.frozenUntil {
 		f()
 		return
 	}
 	life := n.life
-	n.w.After(n.frozen-n.w.Now, func() {
+	n.w.After(n.frozenUntil-n.w.Now, func() {
 		if n.up && n.life == life {
-			n.thawed(f)
+			n.whenRunning(f)
 		}
 	})
 }
 
-func (n *Node) settle() {
-	if n.up && n.w.Now >= n.frozen {
-		n.carryOut(n.Core.Settle(n.w.Now))
+func (n *Node) advance() {
+	if n.up && n.w.Now >= n.frozenUntil {
+		n.execute(n.Core.Advance(n.w.Now))
 	}
 }
 
-func (n *Node) handle(ev any) { n.thawed(func() { n.take(ev) }) }
+func (n *Node) handle(ev any) { n.whenRunning(func() { n.process(ev) }) }
 
-func (n *Node) take(ev any) {
-	n.carryOut(n.Core.Handle(n.w.Now, ev))
-	n.settle()
+func (n *Node) process(ev any) {
+	n.execute(n.Core.Handle(n.w.Now, ev))
+	n.advance()
 }
 
 // ask puts a request to the node; answer is not called if it dies first.
@@ -330,7 +330,7 @@
 	n.handle(request(n.reqs))
 }
 
-func (n *Node) carryOut(effects []any) {
+func (n *Node) execute(effects []any) {
 	life := n.life
 	for _, e := range append([]any(nil), effects...) {
 		if !n.up || n.life != life {
@@ -342,18 +342,18 @@
 		switch e := e.(type) {
 		case core.Call:
 			n.call(e)
-		case core.Reply:
-			n.answer(e.Req, e)
-		case core.BeatReply:
-			if n.w.orders(Before, n, nil, e.Orders); n.up {
-				n.answer(e.Req, e)
+		case core.UserReply:
+			n.answer(e.RequestID, e)
+		case core.HeartbeatReply:
+			if n.w.commandMoments(Before, n, nil, e.Commands); n.up {
+				n.answer(e.RequestID, e)
 			}
-		case core.Tell:
-			n.tell(e)
-		case core.Share:
+		case core.SendToPeer:
+			n.sendToPeer(e)
+		case core.BudgetShare:
 			n.share = e
-		case core.Note:
-			n.w.Log("%v %s %s %v", n.w.Now, n.Name, e.Text, e.Args)
+		case core.LogEvent:
+			n.w.Log("%v %s %s %v", n.w.Now, n.Name, e.Message, e.Args)
 		}
 	}
 }
@@ -365,33 +365,33 @@
 	}
 }
 
-func (n *Node) tell(t core.Tell) {
+func (n *Node) sendToPeer(t core.SendToPeer) {
 	var to *Node
 	i := 0
-	for _, o := range n.w.Nodes {
-		if o == n {
+	for _, other := range n.w.Nodes {
+		if other == n {
 			continue
 		}
 		if i == t.To {
-			to = o
+			to = other
 		}
 		i++
 	}
 	from := 0
-	for _, o := range n.w.Nodes {
-		if o == n {
+	for _, other := range n.w.Nodes {
+		if other == n {
 			break
 		}
-		if o != to {
+		if other != to {
 			from++
 		}
 	}
-	if n.w.Overhear != nil {
-		n.w.Overhear(n.Name, to.Name, t.Message)
+	if n.w.OnPeerMessage != nil {
+		n.w.OnPeerMessage(n.Name, to.Name, t.Message)
 	}
 	life := to.life
-	if n.w.Tells != nil {
-		t.Message = n.w.Tells(n, t.Message)
+	if n.w.ChangePeerMessage != nil {
+		t.Message = n.w.ChangePeerMessage(n, t.Message)
 	}
 	n.w.packet(n.Name, to.Name, func() {
 		if to.up && to.life == life {
@@ -404,7 +404,7 @@
 func (n *Node) call(c core.Call) {
 	life := n.life
 	w := n.w
-	steps, job := w.stepsOf(c.Op)
+	steps, job := w.stepsOf(c.Operation)
 	tell := func(phase Phase) {
 		for _, s := range steps {
 			w.moment(Moment{s, phase, n, nil, job})
@@ -412,7 +412,7 @@
 	}
 	done := func(res any) {
 		if n.up && n.life == life {
-			n.handle(core.Answer{ID: c.ID, Result: res})
+			n.handle(core.CallResult{CallID: c.ID, Result: res})
 			tell(After)
 		}
 	}
@@ -422,65 +422,65 @@
 	// carriedOut wraps an answer to a call that is carried out.
 	carriedOut := func(a func(any)) func(any) {
 		return func(res any) {
-			if outcomeOf(res) == core.OK {
+			if outcomeOf(res) == core.OutcomeOK {
 				tell(During)
 			}
 			a(res)
 		}
 	}
 	const wait = 2 * time.Second
-	if w.Again != nil {
-		if late := w.Again(n.Name, c.Op); late > 0 {
-			w.After(late, func() { n.repeat(c.Op, life) })
+	if w.RepeatRequest != nil {
+		if late := w.RepeatRequest(n.Name, c.Operation); late > 0 {
+			w.After(late, func() { n.repeat(c.Operation, life) })
 		}
 	}
 	store := func(timeout time.Duration, unknown any, exec func(func(any))) {
-		exec = w.Store.delayed(n.Name, c.Op, exec)
-		n.admit(func() { n.thawed(func() { w.rpc(n.Name, "state", timeout, unknown, exec, done) }) }, func() { done(notSent(unknown)) })
+		exec = w.Store.delayed(n.Name, c.Operation, exec)
+		n.admit(func() { n.whenRunning(func() { w.rpc(n.Name, "state", timeout, unknown, exec, done) }) }, func() { done(notSent(unknown)) })
 	}
-	switch op := c.Op.(type) {
-	case core.CommitOp:
+	switch op := c.Operation.(type) {
+	case core.CommitTxn:
 		store(wait, core.CommitResult{}, func(a func(any)) {
 			w.After(w.Store.Slow, func() { w.Store.commit(n.Name, op.Txn, carriedOut(a)) })
 		})
-	case core.ReadOp:
+	case core.ReadKey:
 		store(wait, core.ReadResult{}, func(a func(any)) { w.Store.read(n.Name, op.Key, a) })
-	case core.ListOp:
+	case core.ListKeys:
 		store(wait, core.ListResult{}, func(a func(any)) { w.Store.list(n.Name, op.Prefix, a) })
-	case core.FollowOp:
-		store(op.Wait+wait, core.FollowResult{}, func(a func(any)) { w.Store.follow(n.Name, op, a) })
-	case core.HoldOp:
-		store(wait, core.HoldResult{}, func(a func(any)) { w.Store.hold(n.Name, op.Life, a) })
-	case core.RenewOp:
-		store(wait, core.RenewResult{}, func(a func(any)) { w.Store.renew(n.Name, op.Lease, a) })
-	case core.CatalogOp:
+	case core.WatchKeys:
+		store(op.Timeout+wait, core.WatchResult{}, func(a func(any)) { w.Store.watch(n.Name, op, a) })
+	case core.GrantLease:
+		store(wait, core.LeaseResult{}, func(a func(any)) { w.Store.grantLease(n.Name, op.TTL, a) })
+	case core.RenewLease:
+		store(wait, core.RenewResult{}, func(a func(any)) { w.Store.renewLease(n.Name, op.Lease, a) })
+	case core.ReadCatalog:
 		w.rpc(n.Name, "cloud", 4*time.Second, core.CatalogResult{}, w.Cloud.catalog, done)
-	case core.HostsOp:
+	case core.ListHosts:
 		w.rpc(n.Name, "cloud", 4*time.Second, core.HostsResult{}, w.Cloud.list, done)
-	case core.HireOp:
-		w.rpc(n.Name, "cloud", 4*time.Second, core.HireResult{}, func(a func(any)) { w.Cloud.hire(op, carriedOut(a)) }, done)
-	case core.ReturnOp:
-		w.rpc(n.Name, "cloud", 4*time.Second, core.ReturnResult{}, func(a func(any)) { w.Cloud.giveBack(op.Hosts, carriedOut(a)) }, done)
-	case core.OrdersOp:
-		if w.orders(Before, n, w.Workers[hostOf(op.Addr)], op.Orders); !n.up {
+	case core.RentHosts:
+		w.rpc(n.Name, "cloud", 4*time.Second, core.RentResult{}, func(a func(any)) { w.Cloud.handleRent(op, carriedOut(a)) }, done)
+	case core.ReturnHosts:
+		w.rpc(n.Name, "cloud", 4*time.Second, core.ReturnResult{}, func(a func(any)) { w.Cloud.handleReturn(op.Hosts, carriedOut(a)) }, done)
+	case core.SendCommands:
+		if w.commandMoments(Before, n, w.Workers[hostOf(op.Address)], op.Commands); !n.up {
 			return
 		}
-		if x := w.cuts[[2]string{n.Name, hostOf(op.Addr)}]; x != nil && w.Now < x.until && !x.hold {
+		if x := w.cuts[[2]string{n.Name, hostOf(op.Address)}]; x != nil && w.Now < x.until && !x.hold {
 			// No connection comes about, so nothing can arrive later either.
-			w.After(1500*time.Millisecond, func() { done(core.WorkerResult{Outcome: core.NotSent}) })
+			w.After(1500*time.Millisecond, func() { done(core.WorkerResult{Outcome: core.OutcomeNotSent}) })
 			return
 		}
-		k := w.Workers[hostOf(op.Addr)]
-		w.rpc(n.Name, hostOf(op.Addr), 3*time.Second, core.WorkerResult{}, func(a func(any)) {
-			w.held(k, op, func() {
-				w.reach(op.Addr, func(k *Worker) {
-					k.direct(op, func(res any) { w.held(k, res, func() { a(res) }) })
+		worker := w.Workers[hostOf(op.Address)]
+		w.rpc(n.Name, hostOf(op.Address), 3*time.Second, core.WorkerResult{}, func(a func(any)) {
+			w.delayOnWire(worker, op, func() {
+				w.reach(op.Address, func(k *Worker) {
+					k.handleCommands(op, func(res any) { w.delayOnWire(k, res, func() { a(res) }) })
 				})
 			})
 		}, done)
-	case core.ShowOp:
-		w.rpc(n.Name, hostOf(op.Addr), 3*time.Second, core.WorkerResult{}, func(a func(any)) {
-			w.reach(op.Addr, func(k *Worker) { r := k.report(); a(core.WorkerResult{Outcome: core.OK, Report: &r}) })
+	case core.ReadWorkerStatus:
+		w.rpc(n.Name, hostOf(op.Address), 3*time.Second, core.WorkerResult{}, func(a func(any)) {
+			w.reach(op.Address, func(k *Worker) { r := k.status(); a(core.WorkerResult{Outcome: core.OutcomeOK, Status: &r}) })
 		}, done)
 	}
 }
@@ -507,12 +507,12 @@
 	switch res := res.(type) {
 	case core.CommitResult:
 		return res.Outcome
-	case core.HireResult:
+	case core.RentResult:
 		return res.Outcome
 	case core.ReturnResult:
 		return res.Outcome
 	}
-	return core.Unknown
+	return core.OutcomeUnknown
 }
 
 // notSent is the result of a call that was not made, of the same type as the
@@ -520,17 +520,17 @@
 func notSent(res any) any {
 	switch res.(type) {
 	case core.CommitResult:
-		return core.CommitResult{Outcome: core.NotSent}
+		return core.CommitResult{Outcome: core.OutcomeNotSent}
 	case core.ReadResult:
-		return core.ReadResult{Outcome: core.NotSent}
+		return core.ReadResult{Outcome: core.OutcomeNotSent}
 	case core.ListResult:
-		return core.ListResult{Outcome: core.NotSent}
-	case core.FollowResult:
-		return core.FollowResult{Outcome: core.NotSent}
-	case core.HoldResult:
-		return core.HoldResult{Outcome: core.NotSent}
+		return core.ListResult{Outcome: core.OutcomeNotSent}
+	case core.WatchResult:
+		return core.WatchResult{Outcome: core.OutcomeNotSent}
+	case core.LeaseResult:
+		return core.LeaseResult{Outcome: core.OutcomeNotSent}
 	}
-	return core.RenewResult{Outcome: core.NotSent}
+	return core.RenewResult{Outcome: core.OutcomeNotSent}
 }
 
 // repeat has a request that was carried out arrive once more; nobody hears the
@@ -538,15 +538,15 @@
 func (n *Node) repeat(op any, life int) {
 	unheard := func(any) {}
 	switch op := op.(type) {
-	case core.CommitOp:
+	case core.CommitTxn:
 		n.w.Store.commit(n.Name, op.Txn, unheard)
-	case core.HireOp:
-		n.w.Cloud.hire(op, unheard)
-	case core.ReturnOp:
-		n.w.Cloud.giveBack(op.Hosts, unheard)
-	case core.OrdersOp:
+	case core.RentHosts:
+		n.w.Cloud.handleRent(op, unheard)
+	case core.ReturnHosts:
+		n.w.Cloud.handleReturn(op.Hosts, unheard)
+	case core.SendCommands:
 		if n.life != life {
-			n.w.reach(op.Addr, func(k *Worker) { k.direct(op, unheard) })
+			n.w.reach(op.Address, func(k *Worker) { k.handleCommands(op, unheard) })
 		}
 	}
 }
@@ -556,13 +556,13 @@
 
 // reach runs f on a worker when it can: at once, or when it stops hanging.
 func (w *World) reach(addr string, f func(*Worker)) {
-	k := w.Workers[addr]
+	worker := w.Workers[addr]
 	switch {
-	case k == nil || k.gone:
-	case w.Now < k.hangUntil:
-		w.After(k.hangUntil-w.Now+time.Millisecond, func() { w.reach(addr, f) })
+	case worker == nil || worker.gone:
+	case w.Now < worker.hangUntil:
+		w.After(worker.hangUntil-w.Now+time.Millisecond, func() { w.reach(addr, f) })
 	default:
-		k.expire()
-		f(k)
+		worker.expire()
+		f(worker)
 	}
 }
--- a/internal/fake/zones_test.go
+++ b/internal/fake/zones_test.go
@@ -16,7 +16,7 @@
 	// A rule that hired for queues only that outlast half a boot had bursts of
 	// urgent work wait on swanlic-wa-grown's inc-024c: the next of the burst came
 	// when no machine was on its way.
-	w := oneController(t, 41, func(c *core.Config) { c.Teams[0].Limit = core.Amount{Cores: 2000} })
+	w := oneController(t, 41, func(c *core.Config) { c.Teams[0].Limit = core.Resources{Cores: 2000} })
 	for k := range w.Cloud.Room {
 		w.Cloud.Room[k] = 60
 	}
@@ -26,7 +26,7 @@
 	before := len(w.Workers)
 	w.Submit(spec("job-2", "red", 40, 4), 4*time.Second)
 	assert.True(t, w.Until(250*time.Millisecond, func() bool { return len(w.Workers) > before+6 }), "machines are on their way")
-	w.Stop(long)
+	w.Cancel(long)
 	ends(t, w, long, 30*time.Second)
 }
 
@@ -44,9 +44,9 @@
 	for _, other := range []string{"state", "cloud", "users", "node-1", "node-2"} {
 		w.Cut("node-0", other, 4*time.Minute, true)
 	}
-	cutOff := func(k *Worker) {
-		w.Cut("node-1", k.name, w.Calm-w.Now, true)
-		w.Cut("node-2", k.name, w.Calm-w.Now, true)
+	cutOff := func(worker *Worker) {
+		w.Cut("node-1", worker.name, w.FaultsOverAt-w.Now, true)
+		w.Cut("node-2", worker.name, w.FaultsOverAt-w.Now, true)
 	}
 	for _, name := range workersOf(w, "a") {
 		cutOff(w.Workers[name])
@@ -76,7 +76,7 @@
 
 func TestAJobOfManyZonesFitsATransaction(t *testing.T) {
 	cfg := Settings()
-	cfg.Zones, cfg.TxnOps = nil, 4
+	cfg.Zones, cfg.MaxTxnOps = nil, 4
 	for i := range 9 {
 		cfg.Zones = append(cfg.Zones, fmt.Sprintf("z%d", i))
 	}
@@ -85,7 +85,7 @@
 	w.Run(6 * time.Second)
 	wide := spec("job-1", "red", 64, 16)
 	apart := spec("job-2", "red", 64, 16)
-	apart.Apart = true
+	apart.SpreadZones = true
 	jobs := []*Job{w.Submit(wide, 5*time.Second), w.Submit(apart, 5*time.Second)}
 	for _, j := range jobs {
 		ends(t, w, j, 6*time.Minute)
@@ -97,7 +97,7 @@
 	// dear machines while most cheap ones of the third were never rented.
 	cfg := Settings()
 	cfg.Zones = cfg.Zones[:2]
-	cfg.Teams[0].Limit = core.Amount{Cores: 4000}
+	cfg.Teams[0].Limit = core.Resources{Cores: 4000}
 	w := New(47, cfg)
 	t.Cleanup(func() { assert.Empty(t, w.Referee.Broken, "rules") })
 	room := func(zone string, spot bool, n int) {
@@ -106,7 +106,7 @@
 		}
 	}
 	for i := range w.Cloud.Types {
-		w.Cloud.Types[i].BootS = 40
+		w.Cloud.Types[i].BootSeconds = 40
 	}
 	w.Cloud.BootS = func(string) float64 { return 40 }
 	room("a", true, 16)
@@ -121,7 +121,7 @@
 	var jobs []*Job
 	for i := range 10 {
 		s := spec(fmt.Sprintf("job-1%d", i), "red", 40, 4)
-		s.Estimate = 40
+		s.EstimateSeconds = 40
 		jobs = append(jobs, w.Submit(s, 40*time.Second))
 	}
 	w.Run(time.Second)
@@ -130,8 +130,8 @@
 	room("a", false, 60)
 	ordinary := func() int {
 		n := 0
-		for _, k := range w.Workers {
-			if k.zone == "a" && !k.spot {
+		for _, worker := range w.Workers {
+			if worker.zone == "a" && !worker.spot {
 				n++
 			}
 		}
@@ -180,7 +180,7 @@
 	require.True(t, w.Until(time.Minute, started(w, "job-1", 4)))
 	lost := 0
 	w.Store.Lose = func(_ string, txn core.Txn) (bool, time.Duration) {
-		for _, s := range txn.Apply {
+		for _, s := range txn.Mutations {
 			if strings.HasPrefix(s.Key, "slice/") && strings.HasSuffix(s.Key, "/job-1") && lost == 0 {
 				lost++
 				return true, 0 // applied, and the answer is lost
@@ -191,10 +191,10 @@
 	require.True(t, w.Until(20*time.Second, func() bool { return lost > 0 }))
 	withdrawn := w.Submit(spec("job-2", "blue", 4, 4), time.Minute) // all of blue's limit
 	w.Run(400 * time.Millisecond)
-	w.Stop(withdrawn)
+	w.Cancel(withdrawn)
 	ends(t, w, withdrawn, 10*time.Second)
 	w.Run(5 * time.Second)
-	assert.Empty(t, w.Nodes[0].Core.Residents())
+	assert.Empty(t, w.Nodes[0].Core.DescribePlacements())
 	ends(t, w, w.Submit(spec("job-3", "blue", 4, 4), 5*time.Second), time.Minute)
 }
 
@@ -208,8 +208,8 @@
 	const whole = `{"a":{"c":16,"g":0}}`
 	require.Equal(t, whole, held())
 	given := 0
-	w.Again = func(_ string, op any) time.Duration {
-		if c, ok := op.(core.CommitOp); ok && len(c.Txn.Apply) == 1 && c.Txn.Apply[0].Key == "quota/blue" {
+	w.RepeatRequest = func(_ string, op any) time.Duration {
+		if c, ok := op.(core.CommitTxn); ok && len(c.Txn.Mutations) == 1 && c.Txn.Mutations[0].Key == "quota/blue" {
 			given++
 			return 25 * time.Second
 		}
--- a/internal/metrics/metrics.go
+++ b/internal/metrics/metrics.go
@@ -4,7 +4,6 @@
 import (
 	"net/http"
 	"reflect"
-	"strings"
 
 	"github.com/prometheus/client_golang/prometheus"
 	"github.com/prometheus/client_golang/prometheus/promhttp"
@@ -14,10 +13,10 @@
 
 // Set holds a controller's metrics.
 type Set struct {
-	Plan    prometheus.Histogram
-	samples map[int]prometheus.Histogram
-	calls   *prometheus.CounterVec
-	reg     *prometheus.Registry
+	Plan       prometheus.Histogram
+	histograms map[int]prometheus.Histogram
+	calls      *prometheus.CounterVec
+	registry   *prometheus.Registry
 }
 
 // New makes an empty set.
@@ -27,29 +26,44 @@
 	}
 	s := &Set{
 		Plan: hist("settle_seconds", "Time to plan and to decide after a batch of commands.", .0001, .0005, .001, .005, .01, .05, .1, .5),
-		samples: map[int]prometheus.Histogram{
-			core.Wait:  hist("task_wait_seconds", "Time from a job's coming to a task's start.", .5, 1, 2, 5, 10, 20, 40, 80, 160, 320),
-			core.Fetch: hist("image_fetch_seconds", "Time of image fetches.", .5, 1, 2, 5, 10, 20, 40, 80),
-			core.Batch: hist("commit_batch_jobs", "Jobs accepted by one transaction.", 1, 2, 4, 8, 16),
+		histograms: map[int]prometheus.Histogram{
+			core.MetricTaskWait:    hist("task_wait_seconds", "Time from a job's coming to a task's start.", .5, 1, 2, 5, 10, 20, 40, 80, 160, 320),
+			core.MetricImageFetch:  hist("image_fetch_seconds", "Time of image fetches.", .5, 1, 2, 5, 10, 20, 40, 80),
+			core.MetricCommitBatch: hist("commit_batch_jobs", "Jobs accepted by one transaction.", 1, 2, 4, 8, 16),
 		},
 		calls: prometheus.NewCounterVec(prometheus.CounterOpts{Name: "roadcleat_calls_total",
 			Help: "Calls to the outside by kind and outcome; not_sent includes calls refused for want of tokens."}, []string{"call", "outcome"}),
-		reg: prometheus.NewRegistry(),
+		registry: prometheus.NewRegistry(),
 	}
-	s.reg.MustRegister(s.Plan, s.calls, s.samples[core.Wait], s.samples[core.Fetch], s.samples[core.Batch])
+	s.registry.MustRegister(s.Plan, s.calls, s.histograms[core.MetricTaskWait], s.histograms[core.MetricImageFetch], s.histograms[core.MetricCommitBatch])
 	return s
 }
 
 // Observe takes a measurement of the core.
-func (s *Set) Observe(o core.Observed) { s.samples[o.What].Observe(o.Value) }
+func (s *Set) Observe(o core.Observation) { s.histograms[o.Metric].Observe(o.Value) }
 
-var outcomes = map[core.Outcome]string{core.Unknown: "unknown", core.OK: "ok", core.Refused: "refused", core.NotSent: "not_sent"}
+var outcomes = map[core.Outcome]string{core.OutcomeUnknown: "unknown", core.OutcomeOK: "ok", core.OutcomeRefused: "refused", core.OutcomeNotSent: "not_sent"}
 
 // Call counts a call and its outcome.
 func (s *Set) Call(op, result any) {
-	name := strings.ToLower(strings.TrimSuffix(reflect.TypeOf(op).Name(), "Op"))
 	out := reflect.ValueOf(result).FieldByName("Outcome").Interface().(core.Outcome)
-	s.calls.WithLabelValues(name, outcomes[out]).Inc()
+	s.calls.WithLabelValues(callLabels[reflect.TypeOf(op)], outcomes[out]).Inc()
+}
+
+// callLabels are the values of the label `call`, which operators' graphs name.
+var callLabels = map[reflect.Type]string{
+	reflect.TypeFor[core.CommitTxn]():        "commit",
+	reflect.TypeFor[core.ReadKey]():          "read",
+	reflect.TypeFor[core.ListKeys]():         "list",
+	reflect.TypeFor[core.WatchKeys]():        "follow",
+	reflect.TypeFor[core.GrantLease]():       "hold",
+	reflect.TypeFor[core.RenewLease]():       "renew",
+	reflect.TypeFor[core.ReadCatalog]():      "catalog",
+	reflect.TypeFor[core.ListHosts]():        "hosts",
+	reflect.TypeFor[core.RentHosts]():        "hire",
+	reflect.TypeFor[core.ReturnHosts]():      "return",
+	reflect.TypeFor[core.SendCommands]():     "orders",
+	reflect.TypeFor[core.ReadWorkerStatus](): "show",
 }
 
 // Handler serves the set together with what the core showed when asked.
@@ -63,10 +77,10 @@
 		{"tasks_placed_total", "Tasks placed on machines.", float64(stats.Placed)},
 		{"tasks_finished_total", "Tasks completed.", float64(stats.Finished)},
 		{"tasks_requeued_total", "Tasks that went back to the queue.", float64(stats.Requeued)},
-		{"tasks_stopped_total", "Tasks stopped to make room for more urgent ones.", float64(stats.Stopped)},
+		{"tasks_stopped_total", "Tasks stopped to make room for more urgent ones.", float64(stats.Preempted)},
 		{"tasks_failed_total", "Failures of tasks, of faulty machines and of jobs with a mistake.", float64(stats.Failed)},
-		{"tasks_moved_total", "Waiting tasks moved to another part.", float64(stats.Moves)},
-		{"hosts_hired_total", "Machines hired.", float64(stats.Hired)},
+		{"tasks_moved_total", "Waiting tasks moved to another part.", float64(stats.Rebalanced)},
+		{"hosts_hired_total", "Machines hired.", float64(stats.Rented)},
 		{"hosts_returned_total", "Machines returned.", float64(stats.Returned)},
 		{"plans_total", "Runs of the planner.", float64(stats.Plans)},
 		{"commit_conflicts_total", "Transactions refused because a key had changed.", float64(stats.Conflicts)},
@@ -75,7 +89,7 @@
 		counter.Add(c.value)
 		reg.MustRegister(counter)
 	}
-	return promhttp.HandlerFor(prometheus.Gatherers{s.reg, reg}, promhttp.HandlerOpts{DisableCompression: true})
+	return promhttp.HandlerFor(prometheus.Gatherers{s.registry, reg}, promhttp.HandlerOpts{DisableCompression: true})
 }
 
 // queues gives what waits, and the replicas of services, in the parts owned by this
@@ -90,8 +104,8 @@
 	replicas := gauge("service_replicas", "Replicas of services, by how far they have come; the sum of all states is what is wanted.", "state")
 	for _, q := range g.Queues {
 		setStates(tasks, q, "starting", "fetching", "waiting")
-		wait.WithLabelValues(q.Part, q.Class, q.Team).Set(q.WaitS)
-		blocked.WithLabelValues(q.Part, q.Class, q.Team, q.Why.Name()).Set(float64(q.Starting + q.Fetching + q.Waiting))
+		wait.WithLabelValues(q.Shard, q.Class, q.Team).Set(q.WaitSeconds)
+		blocked.WithLabelValues(q.Shard, q.Class, q.Team, q.Reason.Name()).Set(float64(q.Starting + q.Fetching + q.Waiting))
 	}
 	for _, q := range g.Replicas {
 		setStates(replicas, q, "up", "starting", "fetching", "waiting")
@@ -100,8 +114,8 @@
 }
 
 func setStates(v *prometheus.GaugeVec, q core.Queue, states ...string) {
-	n := map[string]int{"up": q.Up, "starting": q.Starting, "fetching": q.Fetching, "waiting": q.Waiting}
+	n := map[string]int{"up": q.Running, "starting": q.Starting, "fetching": q.Fetching, "waiting": q.Waiting}
 	for _, state := range states {
-		v.WithLabelValues(q.Part, q.Class, q.Team, state).Set(float64(n[state]))
+		v.WithLabelValues(q.Shard, q.Class, q.Team, state).Set(float64(n[state]))
 	}
 }
--- a/internal/metrics/metrics_test.go
+++ b/internal/metrics/metrics_test.go
@@ -14,16 +14,16 @@
 	"roadcleat/internal/core"
 )
 
-var seen = core.Gauges{
+var sampleGauges = core.Gauges{
 	Stats: core.Stats{Placed: 7},
-	Queues: []core.Queue{{Part: "a", Class: "work", Team: "red", Tally: core.Tally{Up: 9, Fetching: 2, Waiting: 40},
-		WaitS: 95, Job: "job-000003", Why: core.AtLimit}},
-	Replicas: []core.Queue{{Part: "a", Class: "live", Team: "red", Tally: core.Tally{Up: 5, Starting: 1, Waiting: 2}}},
+	Queues: []core.Queue{{Shard: "a", Class: "work", Team: "red", TaskCounts: core.TaskCounts{Running: 9, Fetching: 2, Waiting: 40},
+		WaitSeconds: 95, Job: "job-000003", Reason: core.ReasonAtLimit}},
+	Replicas: []core.Queue{{Shard: "a", Class: "live", Team: "red", TaskCounts: core.TaskCounts{Running: 5, Starting: 1, Waiting: 2}}},
 }
 
 func TestWhatWaitsAndWhyIsMeasured(t *testing.T) {
 	w := httptest.NewRecorder()
-	New().Handler(seen).ServeHTTP(w, httptest.NewRequest("GET", "/metrics", nil))
+	New().Handler(sampleGauges).ServeHTTP(w, httptest.NewRequest("GET", "/metrics", nil))
 	require.Equal(t, 200, w.Code)
 	for _, line := range []string{
 		`roadcleat_queue_tasks{class="work",part="a",state="waiting",team="red"} 40`,
@@ -41,7 +41,7 @@
 
 func TestNamesFollowTheConventionsOfPrometheus(t *testing.T) {
 	reg := prometheus.NewRegistry()
-	reg.MustRegister(queues(seen)...)
+	reg.MustRegister(queues(sampleGauges)...)
 	families, err := reg.Gather()
 	require.NoError(t, err)
 	require.Len(t, families, 4)
@@ -57,23 +57,23 @@
 
 func TestThePageIsAsRecorded(t *testing.T) {
 	s := New()
-	s.Observe(core.Observed{What: core.Wait, Value: 3})
-	s.Observe(core.Observed{What: core.Fetch, Value: 7})
-	s.Observe(core.Observed{What: core.Batch, Value: 2})
-	s.Call(core.CommitOp{}, core.CommitResult{Outcome: core.OK})
-	s.Call(core.ReadOp{}, core.ReadResult{Outcome: core.Unknown})
-	s.Call(core.ListOp{}, core.ListResult{Outcome: core.NotSent})
-	s.Call(core.FollowOp{}, core.FollowResult{Outcome: core.Refused})
-	s.Call(core.HoldOp{}, core.HoldResult{Outcome: core.OK})
-	s.Call(core.RenewOp{}, core.RenewResult{Outcome: core.OK})
-	s.Call(core.CatalogOp{}, core.CatalogResult{Outcome: core.OK})
-	s.Call(core.HostsOp{}, core.HostsResult{Outcome: core.OK})
-	s.Call(core.HireOp{}, core.HireResult{Outcome: core.Refused})
-	s.Call(core.ReturnOp{}, core.ReturnResult{Outcome: core.OK})
-	s.Call(core.OrdersOp{}, core.WorkerResult{Outcome: core.OK})
-	s.Call(core.ShowOp{}, core.WorkerResult{Outcome: core.Unknown})
+	s.Observe(core.Observation{Metric: core.MetricTaskWait, Value: 3})
+	s.Observe(core.Observation{Metric: core.MetricImageFetch, Value: 7})
+	s.Observe(core.Observation{Metric: core.MetricCommitBatch, Value: 2})
+	s.Call(core.CommitTxn{}, core.CommitResult{Outcome: core.OutcomeOK})
+	s.Call(core.ReadKey{}, core.ReadResult{Outcome: core.OutcomeUnknown})
+	s.Call(core.ListKeys{}, core.ListResult{Outcome: core.OutcomeNotSent})
+	s.Call(core.WatchKeys{}, core.WatchResult{Outcome: core.OutcomeRefused})
+	s.Call(core.GrantLease{}, core.LeaseResult{Outcome: core.OutcomeOK})
+	s.Call(core.RenewLease{}, core.RenewResult{Outcome: core.OutcomeOK})
+	s.Call(core.ReadCatalog{}, core.CatalogResult{Outcome: core.OutcomeOK})
+	s.Call(core.ListHosts{}, core.HostsResult{Outcome: core.OutcomeOK})
+	s.Call(core.RentHosts{}, core.RentResult{Outcome: core.OutcomeRefused})
+	s.Call(core.ReturnHosts{}, core.ReturnResult{Outcome: core.OutcomeOK})
+	s.Call(core.SendCommands{}, core.WorkerResult{Outcome: core.OutcomeOK})
+	s.Call(core.ReadWorkerStatus{}, core.WorkerResult{Outcome: core.OutcomeUnknown})
 	w := httptest.NewRecorder()
-	s.Handler(seen).ServeHTTP(w, httptest.NewRequest("GET", "/metrics", nil))
+	s.Handler(sampleGauges).ServeHTTP(w, httptest.NewRequest("GET", "/metrics", nil))
 	want, err := os.ReadFile(recordedPage)
 	require.NoError(t, err)
 	assert.Equal(t, string(want), w.Body.String())
--- a/internal/peer/peer.go
+++ b/internal/peer/peer.go
@@ -18,21 +18,21 @@
 )
 
 const (
-	queueLen  = 64
-	connsEach = 4 // from each other controller: one that counts, and ones that a cut has left open
-	ioTimeout = 4 * time.Second
-	idleLimit = 10 * time.Second
+	queueLength     = 64
+	maxConnsPerPeer = 4 // from each other controller: one that counts, and ones that a cut has left open
+	ioTimeout       = 4 * time.Second
+	idleTimeout     = 10 * time.Second
 
-	confirmWithin = 2500 * time.Millisecond
+	defaultConfirmTimeout = 2500 * time.Millisecond
 )
 
-// leastMessage is the largest message where the settings name no memory, or little.
-const leastMessage = 4 << 20
+// minMessageBytes is the largest message where the settings name no memory, or little.
+const minMessageBytes = 4 << 20
 
 // MessageBytes is the largest message taken by a controller with so much memory: what
 // owners tell grows with jobs and with machines that differ.
 func MessageBytes(memoryMB float64) int {
-	return max(int(memoryMB/16*(1<<20)), leastMessage)
+	return max(int(memoryMB/16*(1<<20)), minMessageBytes)
 }
 
 // hello opens a connection.
@@ -40,15 +40,15 @@
 
 // Link sends to one peer. Send never blocks.
 type Link struct {
-	self, addr string
-	queue      chan core.Message
-	patience   time.Duration // with a message that is not confirmed
-	log        *slog.Logger
+	self, addr     string
+	queue          chan core.Message
+	confirmTimeout time.Duration // with a message that is not confirmed
+	log            *slog.Logger
 }
 
 // NewLink makes a link; Run must be running for it to carry anything.
 func NewLink(self, addr string, log *slog.Logger) *Link {
-	return &Link{self: self, addr: addr, queue: make(chan core.Message, queueLen), patience: confirmWithin, log: log}
+	return &Link{self: self, addr: addr, queue: make(chan core.Message, queueLength), confirmTimeout: defaultConfirmTimeout, log: log}
 }
 
 // Send queues a message; when the queue is full the oldest one is dropped.
@@ -69,7 +69,7 @@
 // Run carries messages until the context ends.
 func (l *Link) Run(ctx context.Context) {
 	for ctx.Err() == nil {
-		if err := l.session(ctx); err != nil {
+		if err := l.runConnection(ctx); err != nil {
 			l.log.Debug("peer connection ended", "peer", l.addr, "err", err)
 		}
 		select {
@@ -79,7 +79,7 @@
 	}
 }
 
-func (l *Link) session(ctx context.Context) error {
+func (l *Link) runConnection(ctx context.Context) error {
 	dialer := net.Dialer{Timeout: time.Second}
 	conn, err := dialer.DialContext(ctx, "tcp", l.addr)
 	if err != nil {
@@ -111,7 +111,7 @@
 			}
 		}
 	}()
-	look := time.NewTicker(l.patience / 5)
+	look := time.NewTicker(l.confirmTimeout / 5)
 	defer look.Stop()
 	for {
 		select {
@@ -120,8 +120,8 @@
 		case err := <-broken:
 			return err
 		case <-look.C:
-			if unconfirmed.Load() > 0 && now()-progress.Load() > l.patience.Milliseconds() {
-				return fmt.Errorf("no confirmation for %s", l.patience)
+			if unconfirmed.Load() > 0 && now()-progress.Load() > l.confirmTimeout.Milliseconds() {
+				return fmt.Errorf("no confirmation for %s", l.confirmTimeout)
 			}
 		case m := <-l.queue:
 			if unconfirmed.Add(1) == 1 {
@@ -130,7 +130,7 @@
 			if err := conn.SetWriteDeadline(time.Now().Add(ioTimeout)); err != nil {
 				return err
 			}
-			if err := enc.Encode(m); err != nil {
+			if err := enc.Encode(encode(m)); err != nil {
 				return fmt.Errorf("send: %w", err)
 			}
 			if err := w.Flush(); err != nil {
@@ -143,7 +143,7 @@
 // Serve takes connections of other controllers and hands on their messages of up to so
 // many bytes.
 func Serve(ctx context.Context, ln net.Listener, labels []string, maxMessage int, deliver func(from int, m core.Message), log *slog.Logger) {
-	slots := make(chan struct{}, connsEach*len(labels))
+	slots := make(chan struct{}, maxConnsPerPeer*len(labels))
 	stop := context.AfterFunc(ctx, func() { ln.Close() })
 	defer stop()
 	for {
@@ -188,7 +188,7 @@
 func receive(conn net.Conn, labels []string, maxMessage int, deliver func(int, core.Message)) error {
 	src := &bounded{conn: conn, left: maxMessage}
 	dec := gob.NewDecoder(bufio.NewReader(src))
-	if err := conn.SetReadDeadline(time.Now().Add(idleLimit)); err != nil {
+	if err := conn.SetReadDeadline(time.Now().Add(idleTimeout)); err != nil {
 		return err
 	}
 	var h hello
@@ -206,16 +206,16 @@
 	}
 	for {
 		src.left = maxMessage
-		if err := conn.SetReadDeadline(time.Now().Add(idleLimit)); err != nil {
+		if err := conn.SetReadDeadline(time.Now().Add(idleTimeout)); err != nil {
 			return err
 		}
-		var m core.Message
+		var m gobMessage
 		if err := dec.Decode(&m); err == io.EOF {
 			return nil
 		} else if err != nil {
 			return fmt.Errorf("receive: %w", err)
 		}
-		deliver(from, m)
+		deliver(from, decode(m))
 		if err := conn.SetWriteDeadline(time.Now().Add(ioTimeout)); err != nil {
 			return err
 		}
--- a/internal/peer/peer_test.go
+++ b/internal/peer/peer_test.go
@@ -23,7 +23,7 @@
 		ln, err := net.Listen("tcp", addr)
 		require.NoError(t, err)
 		sctx, stop := context.WithCancel(ctx)
-		go Serve(sctx, ln, []string{"n1", "n2"}, leastMessage, func(from int, m core.Message) {
+		go Serve(sctx, ln, []string{"n1", "n2"}, minMessageBytes, func(from int, m core.Message) {
 			assert.Equal(t, 1, from)
 			got <- m
 		}, log)
@@ -33,19 +33,19 @@
 	addr := ln.Addr().String()
 	l := NewLink("n2", addr, log)
 	go l.Run(ctx)
-	l.Send(core.Message{Boot: 1, Jobs: []core.Item{{Key: "job/1", Value: []byte("{}"), Stamp: 4}}})
+	l.Send(core.Message{Epoch: 1, Jobs: []core.Item{{Key: "job/1", Value: []byte("{}"), Revision: 4}}})
 	m := <-got
-	assert.Equal(t, uint64(4), m.Jobs[0].Stamp)
+	assert.Equal(t, uint64(4), m.Jobs[0].Revision)
 
 	stop()
 	time.Sleep(50 * time.Millisecond)
 	_, stop = serve(addr)
 	defer stop()
 	require.Eventually(t, func() bool {
-		l.Send(core.Message{Boot: 2})
+		l.Send(core.Message{Epoch: 2})
 		select {
 		case m := <-got:
-			return m.Boot == 2
+			return m.Epoch == 2
 		default:
 			return false
 		}
@@ -54,10 +54,10 @@
 
 func TestAFullQueueDropsTheOldest(t *testing.T) {
 	l := NewLink("n1", "127.0.0.1:1", slog.New(slog.NewTextHandler(io.Discard, nil)))
-	for i := uint64(0); i < queueLen+5; i++ {
-		l.Send(core.Message{Boot: i})
+	for i := uint64(0); i < queueLength+5; i++ {
+		l.Send(core.Message{Epoch: i})
 	}
-	assert.Equal(t, uint64(5), (<-l.queue).Boot)
+	assert.Equal(t, uint64(5), (<-l.queue).Epoch)
 }
 
 func TestALinkThatIsConfirmedStaysAndAMuteOneIsGivenUp(t *testing.T) {
@@ -78,15 +78,15 @@
 				}
 				conns <- conn
 				if !mute {
-					go func() { _ = receive(conn, []string{"n2"}, leastMessage, func(int, core.Message) {}) }()
+					go func() { _ = receive(conn, []string{"n2"}, minMessageBytes, func(int, core.Message) {}) }()
 				}
 			}
 		}()
 		l := NewLink("n2", ln.Addr().String(), log)
-		l.patience = 500 * time.Millisecond
+		l.confirmTimeout = 500 * time.Millisecond
 		go l.Run(ctx)
 		for range 40 {
-			l.Send(core.Message{Boot: 1})
+			l.Send(core.Message{Epoch: 1})
 			time.Sleep(40 * time.Millisecond)
 		}
 		if mute {
--- a/internal/peer/recorded_test.go
+++ b/internal/peer/recorded_test.go
@@ -81,7 +81,7 @@
 	}()
 	require.NoError(t, here.SetDeadline(time.Now().Add(5*time.Second)))
 	var got []core.Message
-	_ = receive(here, []string{"n1", "n2"}, leastMessage, func(from int, m core.Message) {
+	_ = receive(here, []string{"n1", "n2"}, minMessageBytes, func(from int, m core.Message) {
 		assert.Equal(t, 1, from)
 		got = append(got, m)
 	})
@@ -113,7 +113,7 @@
 	var stream bytes.Buffer
 	encoder := gob.NewEncoder(&stream)
 	require.NoError(t, encoder.Encode(hello{"n2"}))
-	require.NoError(t, encoder.Encode(m))
+	require.NoError(t, encoder.Encode(encode(m)))
 	return stream.Bytes()
 }
 
