--- a/internal/runtime/runtime.go
+++ b/internal/runtime/runtime.go
@@ -28,143 +28,143 @@
 type Bounds struct{ WorkerCalls, Requests int }
 
 const (
-	leastQueue = 1024 // commands that may wait for the core, however few sockets there are
-	batchLen   = 64
-	maxCalls   = 256 // calls to the state service and the cloud open at a time
-	tickEvery  = 50 * time.Millisecond
+	minQueue     = 1024 // commands that may wait for the core, however few sockets there are
+	maxBatch     = 64
+	maxCalls     = 256 // calls to the state service and the cloud open at a time
+	tickInterval = 50 * time.Millisecond
 )
 
 // command is an event, a question to the core, or both.
 type command struct {
-	ctx   context.Context // of whoever waits for the reply
-	event any
-	ask   func(*core.Core)
-	reply chan any
+	ctx     context.Context // of whoever waits for the reply
+	event   any
+	inspect func(*core.Core)
+	reply   chan any
 }
 
 // Runtime carries a core.
 type Runtime struct {
-	core  *core.Core
-	state *state.Client
-	cloud *cloud.Client
-	agent *agent.Client
-	links []*peer.Link
-	log   *slog.Logger
-	seen  *metrics.Set
+	core      *core.Core
+	state     *state.Client
+	cloud     *cloud.Client
+	agent     *agent.Client
+	links     []*peer.Link
+	log       *slog.Logger
+	collector *metrics.Set
 
-	queue   chan command
-	refused atomic.Bool // something was turned away since the core was last told
-	start   time.Time
-	reqs    uint64
-	waiting map[uint64]chan any
+	queue         chan command
+	rejected      atomic.Bool // something was turned away since the core was last told
+	start         time.Time
+	lastRequestID uint64
+	waiting       map[uint64]chan any
 	// Calls to workers have slots of their own: a zone of machines that do not
 	// answer would otherwise keep the lease from being renewed.
-	calls, workerCalls chan struct{}
+	callSlots, workerCallSlots chan struct{}
 }
 
 // New makes a runtime. Its queue holds a command for each request and call that the
 // bounds allow, so that all workers of a large fleet may report in the same moment, as
 // they do after this process stood still.
 func New(c *core.Core, st *state.Client, cl *cloud.Client, ag *agent.Client, bounds Bounds, links []*peer.Link, seen *metrics.Set, log *slog.Logger) *Runtime {
-	return &Runtime{core: c, state: st, cloud: cl, agent: ag, links: links, log: log, seen: seen,
-		queue: make(chan command, max(leastQueue, bounds.Requests+bounds.WorkerCalls+maxCalls)), start: time.Now(), waiting: map[uint64]chan any{},
-		calls: make(chan struct{}, maxCalls), workerCalls: make(chan struct{}, bounds.WorkerCalls)}
+	return &Runtime{core: c, state: st, cloud: cl, agent: ag, links: links, log: log, collector: seen,
+		queue: make(chan command, max(minQueue, bounds.Requests+bounds.WorkerCalls+maxCalls)), start: time.Now(), waiting: map[uint64]chan any{},
+		callSlots: make(chan struct{}, maxCalls), workerCallSlots: make(chan struct{}, bounds.WorkerCalls)}
 }
 
 // Run works through the queue until the context ends.
 func (r *Runtime) Run(ctx context.Context) {
-	tick := time.NewTicker(tickEvery)
+	tick := time.NewTicker(tickInterval)
 	defer tick.Stop()
-	r.settle(ctx)
+	r.advance(ctx)
 	for {
 		select {
 		case <-ctx.Done():
 			return
 		case <-tick.C:
-			if r.refused.Swap(false) {
-				r.carryOut(ctx, r.core.Handle(r.now(), core.Overloaded{}))
+			if r.rejected.Swap(false) {
+				r.execute(ctx, r.core.Handle(r.now(), core.Overloaded{}))
 			}
 		case cmd := <-r.queue:
-			r.take(ctx, cmd)
-			for n := 1; n < batchLen; n++ {
+			r.process(ctx, cmd)
+			for n := 1; n < maxBatch; n++ {
 				select {
 				case cmd := <-r.queue:
-					r.take(ctx, cmd)
+					r.process(ctx, cmd)
 					continue
 				default:
 				}
 				break
 			}
 		}
-		r.settle(ctx)
+		r.advance(ctx)
 	}
 }
 
 func (r *Runtime) now() time.Duration { return time.Since(r.start) }
 
-func (r *Runtime) settle(ctx context.Context) {
+func (r *Runtime) advance(ctx context.Context) {
 	start := time.Now()
-	effects := r.core.Settle(r.now())
+	effects := r.core.Advance(r.now())
 	if len(effects) > 0 {
-		r.seen.Plan.Observe(time.Since(start).Seconds())
+		r.collector.Plan.Observe(time.Since(start).Seconds())
 	}
-	r.carryOut(ctx, effects)
+	r.execute(ctx, effects)
 }
 
-func (r *Runtime) take(ctx context.Context, cmd command) {
+func (r *Runtime) process(ctx context.Context, cmd command) {
 	if cmd.ctx != nil && cmd.ctx.Err() != nil {
 		// Nobody waits any more: it came while this process was behind or stood
 		// still. Carried out now, its answer would count as given: a machine whose
 		// report it is would seem to hear nothing.
-		r.Refused()
+		r.RecordRejection()
 		return
 	}
-	if cmd.ask != nil {
-		cmd.ask(r.core)
+	if cmd.inspect != nil {
+		cmd.inspect(r.core)
 		close(cmd.reply)
 		return
 	}
 	ev := cmd.event
 	if cmd.reply != nil {
-		r.reqs++
-		r.waiting[r.reqs] = cmd.reply
+		r.lastRequestID++
+		r.waiting[r.lastRequestID] = cmd.reply
 		switch e := ev.(type) {
-		case core.Submit:
-			e.Req = r.reqs
+		case core.JobSubmission:
+			e.RequestID = r.lastRequestID
 			ev = e
-		case core.Poll:
-			e.Req = r.reqs
+		case core.JobQuery:
+			e.RequestID = r.lastRequestID
 			ev = e
-		case core.Withdraw:
-			e.Req = r.reqs
+		case core.JobCancellation:
+			e.RequestID = r.lastRequestID
 			ev = e
-		case core.Beat:
-			e.Req = r.reqs
+		case core.Heartbeat:
+			e.RequestID = r.lastRequestID
 			ev = e
 		}
 	}
-	r.carryOut(ctx, r.core.Handle(r.now(), ev))
+	r.execute(ctx, r.core.Handle(r.now(), ev))
 }
 
-func (r *Runtime) carryOut(ctx context.Context, effects []any) {
+func (r *Runtime) execute(ctx context.Context, effects []any) {
 	for _, e := range effects {
 		switch e := e.(type) {
 		case core.Call:
 			go r.call(ctx, e)
-		case core.Reply:
-			r.answer(e.Req, e)
-		case core.BeatReply:
-			r.answer(e.Req, e)
-		case core.Tell:
+		case core.UserReply:
+			r.answer(e.RequestID, e)
+		case core.HeartbeatReply:
+			r.answer(e.RequestID, e)
+		case core.SendToPeer:
 			r.links[e.To].Send(e.Message)
-		case core.Share:
+		case core.BudgetShare:
 			r.state.Share(e.Requests, e.Changes)
 			r.cloud.Share(e.Calls)
-		case core.Observed:
-			r.seen.Observe(e)
-		case core.Note:
+		case core.Observation:
+			r.collector.Observe(e)
+		case core.LogEvent:
 			level := [...]slog.Level{slog.LevelDebug, slog.LevelInfo, slog.LevelWarn}[e.Level]
-			r.log.Log(ctx, level, e.Text, e.Args...)
+			r.log.Log(ctx, level, e.Message, e.Args...)
 		}
 	}
 }
@@ -179,64 +179,64 @@
 // call makes a call to the outside and hands its result back to the owner.
 func (r *Runtime) call(ctx context.Context, c core.Call) {
 	var slots chan struct{} // none for the lease, which waits for nobody
-	switch c.Op.(type) {
-	case core.OrdersOp, core.ShowOp:
-		slots = r.workerCalls
-	case core.HoldOp, core.RenewOp:
+	switch c.Operation.(type) {
+	case core.SendCommands, core.ReadWorkerStatus:
+		slots = r.workerCallSlots
+	case core.GrantLease, core.RenewLease:
 	default:
-		slots = r.calls
+		slots = r.callSlots
 	}
 	if slots != nil {
 		slots <- struct{}{}
 	}
 	var res any
-	switch op := c.Op.(type) {
-	case core.CommitOp:
+	switch op := c.Operation.(type) {
+	case core.CommitTxn:
 		res = r.state.Commit(ctx, op)
-	case core.ReadOp:
+	case core.ReadKey:
 		res = r.state.Read(ctx, op)
-	case core.ListOp:
+	case core.ListKeys:
 		res = r.state.List(ctx, op)
-	case core.FollowOp:
-		res = r.state.Follow(ctx, op)
-	case core.HoldOp:
-		res = r.state.Hold(ctx, op)
-	case core.RenewOp:
-		res = r.state.Renew(ctx, op)
-	case core.CatalogOp:
+	case core.WatchKeys:
+		res = r.state.Watch(ctx, op)
+	case core.GrantLease:
+		res = r.state.GrantLease(ctx, op)
+	case core.RenewLease:
+		res = r.state.RenewLease(ctx, op)
+	case core.ReadCatalog:
 		res = r.cloud.Catalog(ctx)
-	case core.HostsOp:
+	case core.ListHosts:
 		res = r.cloud.Hosts(ctx)
-	case core.HireOp:
-		res = r.cloud.Hire(ctx, op)
-	case core.ReturnOp:
+	case core.RentHosts:
+		res = r.cloud.Rent(ctx, op)
+	case core.ReturnHosts:
 		res = core.ReturnResult(r.cloud.Return(ctx, op.Hosts))
-	case core.OrdersOp:
-		res = r.agent.Orders(ctx, op)
-	case core.ShowOp:
-		res = r.agent.Show(ctx, op.Addr)
+	case core.SendCommands:
+		res = r.agent.SendCommands(ctx, op)
+	case core.ReadWorkerStatus:
+		res = r.agent.ReadStatus(ctx, op.Address)
 	}
 	if slots != nil {
 		<-slots
 	}
-	r.seen.Call(c.Op, res)
+	r.collector.Call(c.Operation, res)
 	select {
-	case r.queue <- command{event: core.Answer{ID: c.ID, Result: res}}:
+	case r.queue <- command{event: core.CallResult{CallID: c.ID, Result: res}}:
 	case <-ctx.Done():
 	}
 }
 
-// Refused notes that a request of a worker or user was turned away here.
-func (r *Runtime) Refused() { r.refused.Store(true) }
+// RecordRejection notes that a request of a worker or user was turned away here.
+func (r *Runtime) RecordRejection() { r.rejected.Store(true) }
 
-// Do hands an event to the core and waits for its answer. It fails at once
+// Submit hands an event to the core and waits for its answer. It fails at once
 // when too much is waiting already.
-func (r *Runtime) Do(ctx context.Context, event any) (any, error) {
+func (r *Runtime) Submit(ctx context.Context, event any) (any, error) {
 	cmd := command{ctx: ctx, event: event, reply: make(chan any, 1)}
 	select {
 	case r.queue <- cmd:
 	default:
-		r.Refused()
+		r.RecordRejection()
 		return nil, ErrBusy
 	}
 	select {
@@ -247,9 +247,9 @@
 	}
 }
 
-// Ask runs f on the owner goroutine and waits for it.
-func (r *Runtime) Ask(ctx context.Context, f func(*core.Core)) error {
-	cmd := command{ctx: ctx, ask: f, reply: make(chan any)}
+// Inspect runs f on the owner goroutine and waits for it.
+func (r *Runtime) Inspect(ctx context.Context, f func(*core.Core)) error {
+	cmd := command{ctx: ctx, inspect: f, reply: make(chan any)}
 	select {
 	case r.queue <- cmd:
 	default:
--- a/internal/runtime/runtime_test.go
+++ b/internal/runtime/runtime_test.go
@@ -33,13 +33,13 @@
 	r := newRuntime(4)
 	ctx, cancel := context.WithCancel(context.Background())
 	cancel()
-	beat := command{event: core.Beat{Report: core.Report{Host: "vm-1", Zone: "a"}}, reply: make(chan any, 1)}
+	beat := command{event: core.Heartbeat{Status: core.WorkerStatus{Host: "vm-1", Zone: "a"}}, reply: make(chan any, 1)}
 	beat.ctx = ctx
-	r.take(context.Background(), beat)
+	r.process(context.Background(), beat)
 	assert.Empty(t, beat.reply)
-	assert.Zero(t, r.reqs, "the core has not seen it")
+	assert.Zero(t, r.lastRequestID, "the core has not seen it")
 	beat.ctx = context.Background()
-	r.take(context.Background(), beat)
+	r.process(context.Background(), beat)
 	assert.Len(t, beat.reply, 1)
 }
 
@@ -47,22 +47,22 @@
 	// Hundreds of machines behind a cut took all slots, the lease was not renewed
 	// and the part lost.
 	r := newRuntime(1)
-	r.workerCalls <- struct{}{} // a call that hangs
-	for range cap(r.calls) {
-		r.calls <- struct{}{}
+	r.workerCallSlots <- struct{}{} // a call that hangs
+	for range cap(r.callSlots) {
+		r.callSlots <- struct{}{}
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	go r.call(ctx, core.Call{ID: 1, Op: core.ShowOp{Addr: "127.0.0.1:1"}})
-	go r.call(ctx, core.Call{ID: 2, Op: core.RenewOp{Lease: 7}})
+	go r.call(ctx, core.Call{ID: 1, Operation: core.ReadWorkerStatus{Address: "127.0.0.1:1"}})
+	go r.call(ctx, core.Call{ID: 2, Operation: core.RenewLease{Lease: 7}})
 	select {
 	case cmd := <-r.queue:
-		assert.Equal(t, uint64(2), cmd.event.(core.Answer).ID)
+		assert.Equal(t, uint64(2), cmd.event.(core.CallResult).CallID)
 	case <-time.After(5 * time.Second):
 		t.Fatal("the renewal waits for a worker")
 	}
-	<-r.workerCalls
-	assert.Equal(t, uint64(1), (<-r.queue).event.(core.Answer).ID, "the other goes on when there is room")
+	<-r.workerCallSlots
+	assert.Equal(t, uint64(1), (<-r.queue).event.(core.CallResult).CallID, "the other goes on when there is room")
 }
 
 func TestCallsThatHangTakeNoThreads(t *testing.T) {
@@ -79,9 +79,9 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	before := pprof.Lookup("threadcreate").Count()
 	for i, addr := range workers {
-		go r.call(ctx, core.Call{ID: uint64(i), Op: core.ShowOp{Addr: addr}})
+		go r.call(ctx, core.Call{ID: uint64(i), Operation: core.ReadWorkerStatus{Address: addr}})
 	}
-	require.Eventually(t, func() bool { return len(r.workerCalls) == calls }, 5*time.Second, 10*time.Millisecond)
+	require.Eventually(t, func() bool { return len(r.workerCallSlots) == calls }, 5*time.Second, 10*time.Millisecond)
 	time.Sleep(200 * time.Millisecond) // they are under way
 	assert.Less(t, pprof.Lookup("threadcreate").Count()-before, 64)
 	cancel()
@@ -99,7 +99,7 @@
 	done := make(chan error, workers)
 	for i := range workers {
 		go func() {
-			_, err := r.Do(ctx, core.Beat{Report: core.Report{Host: fmt.Sprintf("vm-%d", i), Zone: "a"}})
+			_, err := r.Submit(ctx, core.Heartbeat{Status: core.WorkerStatus{Host: fmt.Sprintf("vm-%d", i), Zone: "a"}})
 			done <- err
 		}()
 	}
@@ -114,9 +114,9 @@
 func TestRequestsThatAreTurnedAwayAreToldToTheCore(t *testing.T) {
 	r := newRuntime(4)
 	for range cap(r.queue) {
-		r.queue <- command{ask: func(*core.Core) {}, reply: make(chan any)}
+		r.queue <- command{inspect: func(*core.Core) {}, reply: make(chan any)}
 	}
-	_, err := r.Do(t.Context(), core.Beat{})
+	_, err := r.Submit(t.Context(), core.Heartbeat{})
 	assert.ErrorIs(t, err, ErrBusy)
-	assert.True(t, r.refused.Load())
+	assert.True(t, r.rejected.Load())
 }
--- a/internal/service/service.go
+++ b/internal/service/service.go
@@ -59,7 +59,7 @@
 	}
 	seen := metrics.New()
 	b := socketsFor(s)
-	bounds := rt.Bounds{WorkerCalls: b.workers, Requests: b.served}
+	bounds := rt.Bounds{WorkerCalls: b.workers, Requests: b.callers}
 	r := rt.New(core.New(CoreConfig(s, o, rand.Uint64())), st, cl, agent.New(b.workers), bounds, links, seen, log)
 	for _, l := range links {
 		go l.Run(ctx)
@@ -67,17 +67,17 @@
 	go peer.Serve(ctx, peerLn, labels, peer.MessageBytes(d.Resources.MemoryMB), r.Deliver, log)
 	go r.Run(ctx)
 	log.Info("controller started", "label", s.Label, "zone", s.Location)
-	return api.New(r, seen, log).Serve(ctx, apiLn, b.served, config.Seconds(d.Workers.ReportS))
+	return api.New(r, seen, log).Serve(ctx, apiLn, b.callers, config.Seconds(d.Workers.HeartbeatSeconds))
 }
 
 // sockets is how the sockets that this controller may have are divided.
 type sockets struct {
-	served  int // users, workers, health checks
+	callers int // users, workers, health checks
 	workers int // calls to workers
 }
 
-// unnamedSockets is how many sockets are used where the settings name no limit.
-const unnamedSockets = 16384
+// defaultSockets is how many sockets are used where the settings name no limit.
+const defaultSockets = 16384
 
 // socketsFor divides them: some for the state service, the cloud, the other
 // controllers and what is just being closed, a fifth of the rest for calls to
@@ -85,11 +85,11 @@
 func socketsFor(s *config.Settings) sockets {
 	all := s.Deployment.Resources.FDLimit
 	if all <= 0 {
-		all = unnamedSockets
+		all = defaultSockets
 	}
 	rest := all - min(64+8*len(s.Others), all/3)
 	workers := max(rest/5, 4)
-	return sockets{served: rest - workers, workers: workers}
+	return sockets{callers: rest - workers, workers: workers}
 }
 
 // limitProcess keeps the process within its machine.
@@ -119,32 +119,32 @@
 	d := &s.Deployment
 	sec := config.Seconds
 	cfg := core.Config{
-		Label: s.Label, Zone: s.Location, Zones: d.Zones, Finishes: map[string][]float64{}, Deadlines: map[string][]float64{}, Waits: map[string]float64{},
-		Report: sec(d.Workers.ReportS), Lease: sec(d.Workers.LeaseS), Cancel: sec(d.Workers.CancelS),
-		WorkerCalls: socketsFor(s).workers, ListLag: sec(d.Cloud.ListLagS), TxnOps: d.State.TxnOps, Changes: d.State.WriteRPS, ValueBytes: int(d.State.ValueKB * 1024),
-		Boot: boot, Seed: boot,
-		Knobs: o.Knobs(),
+		Label: s.Label, Zone: s.Location, Zones: d.Zones, CompletionObjectives: map[string][]float64{}, DeadlineObjectives: map[string][]float64{}, StartObjectives: map[string]float64{},
+		HeartbeatInterval: sec(d.Workers.HeartbeatSeconds), WorkerLease: sec(d.Workers.LeaseSeconds), CancelWithin: sec(d.Workers.CancelSeconds),
+		MaxWorkerCalls: socketsFor(s).workers, ListLag: sec(d.Cloud.ListLagSeconds), MaxTxnOps: d.State.TxnOps, WritesPerSecond: d.State.WriteRPS, MaxValueBytes: int(d.State.ValueKB * 1024),
+		Epoch: boot, Seed: boot,
+		Tuning: o.Tuning(),
 	}
 	for _, other := range s.Others {
-		cfg.Peers = append(cfg.Peers, core.Peer{Label: other.Label, Zone: other.Location})
+		cfg.Peers = append(cfg.Peers, core.PeerConfig{Label: other.Label, Zone: other.Location})
 	}
 	for _, t := range d.Teams {
-		cfg.Teams = append(cfg.Teams, core.Team{Name: t.Name, Guarantee: core.Amount{Cores: t.CPUs, Cards: t.GPUs},
-			Limit: core.Amount{Cores: t.CPUsMax, Cards: t.GPUsMax}})
+		cfg.Teams = append(cfg.Teams, core.Team{Name: t.Name, Guarantee: core.Resources{Cores: t.CPUs, GPUs: t.GPUs},
+			Limit: core.Resources{Cores: t.CPUsMax, GPUs: t.GPUsMax}})
 	}
 	for _, ob := range d.Objectives {
 		switch {
 		case ob.Kind == "finished" && ob.WithinS > 0:
-			cfg.Finishes[ob.Class] = append(cfg.Finishes[ob.Class], ob.WithinS)
+			cfg.CompletionObjectives[ob.Class] = append(cfg.CompletionObjectives[ob.Class], ob.WithinS)
 		case ob.Kind == "wait" && ob.WithinS > 0:
-			if was, ok := cfg.Waits[ob.Class]; !ok || ob.WithinS < was {
-				cfg.Waits[ob.Class] = ob.WithinS
+			if was, ok := cfg.StartObjectives[ob.Class]; !ok || ob.WithinS < was {
+				cfg.StartObjectives[ob.Class] = ob.WithinS
 			}
 		case ob.Kind == "deadline" && ob.Times > 0:
-			cfg.Deadlines[ob.Class] = append(cfg.Deadlines[ob.Class], ob.Times)
+			cfg.DeadlineObjectives[ob.Class] = append(cfg.DeadlineObjectives[ob.Class], ob.Times)
 		}
 	}
-	for _, aims := range []map[string][]float64{cfg.Finishes, cfg.Deadlines} {
+	for _, aims := range []map[string][]float64{cfg.CompletionObjectives, cfg.DeadlineObjectives} {
 		for _, list := range aims {
 			slices.Sort(list)
 		}
--- a/internal/service/service_test.go
+++ b/internal/service/service_test.go
@@ -96,8 +96,8 @@
 			s := &config.Settings{Others: make([]config.Other, others)}
 			s.Deployment.Resources.FDLimit = limit
 			b := socketsFor(s)
-			assert.Less(t, b.served+b.workers, limit, "%d beside %d others", limit, others)
-			assert.Greater(t, b.served, b.workers, "those who call have most")
+			assert.Less(t, b.callers+b.workers, limit, "%d beside %d others", limit, others)
+			assert.Greater(t, b.callers, b.workers, "those who call have most")
 			assert.Positive(t, b.workers)
 		}
 	}
--- a/internal/state/state_test.go
+++ b/internal/state/state_test.go
@@ -21,16 +21,16 @@
 	}))
 	defer srv.Close()
 	c := New(strings.TrimPrefix(srv.URL, "http://"), 1000, 80, 48, 0.3) // 24 changes a second
-	txn := func(n int) core.Txn { return core.Txn{Apply: make([]core.Set, n)} }
+	txn := func(n int) core.Txn { return core.Txn{Mutations: make([]core.Mutation, n)} }
 	ctx := context.Background()
-	c.changes.AllowN(time.Now(), c.changes.Burst()) // a burst has used all there was
-	res := c.Commit(ctx, core.CommitOp{Txn: txn(12), Urgent: true, Spare: true})
-	assert.Equal(t, core.OK, res.Outcome, "half a second's share comes through")
-	assert.GreaterOrEqual(t, c.changes.Tokens(), 4.0, "a submission finds changes left")
-	res = c.Commit(ctx, core.CommitOp{Txn: txn(4), Urgent: true})
-	assert.Equal(t, core.OK, res.Outcome)
-	res = c.Commit(ctx, core.CommitOp{Txn: txn(48), Urgent: true, Spare: true})
-	assert.Equal(t, core.NotSent, res.Outcome, "what would wait too long is not sent")
+	c.writes.AllowN(time.Now(), c.writes.Burst()) // a burst has used all there was
+	res := c.Commit(ctx, core.CommitTxn{Txn: txn(12), Urgent: true, Background: true})
+	assert.Equal(t, core.OutcomeOK, res.Outcome, "half a second's share comes through")
+	assert.GreaterOrEqual(t, c.writes.Tokens(), 4.0, "a submission finds changes left")
+	res = c.Commit(ctx, core.CommitTxn{Txn: txn(4), Urgent: true})
+	assert.Equal(t, core.OutcomeOK, res.Outcome)
+	res = c.Commit(ctx, core.CommitTxn{Txn: txn(48), Urgent: true, Background: true})
+	assert.Equal(t, core.OutcomeNotSent, res.Outcome, "what would wait too long is not sent")
 }
 
 func TestTheLeaseIsRenewedWhileEverythingElseWaitsForTokens(t *testing.T) {
@@ -42,9 +42,9 @@
 	c.requests.ReserveN(time.Now(), c.requests.Burst()) // used up, and more is waiting
 	c.requests.ReserveN(time.Now(), c.requests.Burst())
 	ctx := context.Background()
-	assert.Equal(t, core.NotSent, c.Read(ctx, core.ReadOp{Key: "job/1", Urgent: true}).Outcome)
+	assert.Equal(t, core.OutcomeNotSent, c.Read(ctx, core.ReadKey{Key: "job/1", Urgent: true}).Outcome)
 	start := time.Now()
-	assert.Equal(t, core.OK, c.Renew(ctx, core.RenewOp{Lease: 7}).Outcome)
+	assert.Equal(t, core.OutcomeOK, c.RenewLease(ctx, core.RenewLease{Lease: 7}).Outcome)
 	assert.Less(t, time.Since(start), time.Second)
 }
 
@@ -61,11 +61,11 @@
 	c := New(strings.TrimPrefix(srv.URL, "http://"), 1000, 1000, 12, 1)
 	ctx := t.Context()
 	for range 60 {
-		go c.Read(ctx, core.ReadOp{Key: "job/1", Urgent: true})
+		go c.Read(ctx, core.ReadKey{Key: "job/1", Urgent: true})
 	}
 	time.Sleep(100 * time.Millisecond) // they have taken what there is
 	start := time.Now()
-	assert.Equal(t, core.OK, c.Renew(ctx, core.RenewOp{Lease: 7}).Outcome)
+	assert.Equal(t, core.OutcomeOK, c.RenewLease(ctx, core.RenewLease{Lease: 7}).Outcome)
 	assert.Less(t, time.Since(start), time.Second)
 }
 
@@ -82,6 +82,6 @@
 	}))
 	defer srv.Close()
 	c := New(strings.TrimPrefix(srv.URL, "http://"), 1000, 1000, 12, 1)
-	res := c.Follow(t.Context(), core.FollowOp{Prefix: "job/", After: 7, Wait: time.Second})
-	assert.Equal(t, core.Refused, res.Outcome, "read the keys again")
+	res := c.Watch(t.Context(), core.WatchKeys{Prefix: "job/", AfterRevision: 7, Timeout: time.Second})
+	assert.Equal(t, core.OutcomeRefused, res.Outcome, "read the keys again")
 }
--- a/internal/wire/cloud.go
+++ b/internal/wire/cloud.go
@@ -25,30 +25,30 @@
 	}
 	var out []core.MachineType
 	for _, b := range c.Breeds {
-		out = append(out, core.MachineType{Name: b.Name, Total: core.Amount{Cores: b.Cores, Cards: b.Cards, Mem: b.MemGb},
-			CacheGB: b.CacheGb, GBPerS: b.PullGbPerS, Price: b.Rate, SpotPrice: b.MarketPrice, BootS: b.BootS, Zones: b.Yards})
+		out = append(out, core.MachineType{Name: b.Name, Capacity: core.Resources{Cores: b.Cores, GPUs: b.Cards, MemoryGB: b.MemGb},
+			CacheGB: b.CacheGb, FetchGBPerSecond: b.PullGbPerS, Price: b.Rate, SpotPrice: b.MarketPrice, BootSeconds: b.BootS, Zones: b.Yards})
 	}
 	return out, nil
 }
 
-// EncodeHire writes a rental request.
-func EncodeHire(op core.HireOp) []byte {
+// EncodeRentRequest writes a rental request.
+func EncodeRentRequest(op core.RentHosts) []byte {
 	b, _ := json.Marshal(struct {
 		Hire, Breed, Yard string
 		Loaners           bool
 		Number            int
-	}{op.Name, op.Type, op.Zone, op.Spot, op.Number})
+	}{op.Name, op.Type, op.Zone, op.Spot, op.Count})
 	return b
 }
 
-// EncodeReturn writes the names of machines to give back.
-func EncodeReturn(hosts []string) []byte {
+// EncodeReturnRequest writes the names of machines to give back.
+func EncodeReturnRequest(hosts []string) []byte {
 	b, _ := json.Marshal(struct{ Hosts []string }{hosts})
 	return b
 }
 
-// DecodeHired reads the names of the machines rented.
-func DecodeHired(body []byte) ([]string, error) {
+// DecodeRented reads the names of the machines rented.
+func DecodeRented(body []byte) ([]string, error) {
 	var h struct{ Hosts []string }
 	if err := json.Unmarshal(body, &h); err != nil {
 		return nil, fmt.Errorf("rental: %w", err)
@@ -57,7 +57,7 @@
 }
 
 // DecodeHosts reads a page of the machine list and whether more follow.
-func DecodeHosts(body []byte) ([]core.Listed, bool, error) {
+func DecodeHosts(body []byte) ([]core.ListedHost, bool, error) {
 	var l struct {
 		Hosts []struct {
 			Ref, Endpoint, Breed, Yard string
@@ -70,10 +70,10 @@
 	if err := json.Unmarshal(body, &l); err != nil {
 		return nil, false, fmt.Errorf("machine list: %w", err)
 	}
-	var out []core.Listed
+	var out []core.ListedHost
 	for _, h := range l.Hosts {
-		out = append(out, core.Listed{Name: h.Ref, Addr: h.Endpoint, Type: h.Breed, Zone: h.Yard, Spot: h.Loaners,
-			State: h.Standing, HeldS: h.HeldS})
+		out = append(out, core.ListedHost{Name: h.Ref, Address: h.Endpoint, Type: h.Breed, Zone: h.Yard, Spot: h.Loaners,
+			State: h.Standing, RentedSeconds: h.HeldS})
 	}
 	return out, l.Truncated, nil
 }
--- a/internal/wire/state.go
+++ b/internal/wire/state.go
@@ -31,11 +31,11 @@
 	w := struct {
 		Guards []guard
 		Apply  []change `json:",omitempty"`
-	}{Guards: make([]guard, 0, len(t.Guards))}
-	for _, g := range t.Guards {
-		w.Guards = append(w.Guards, guard(g))
+	}{Guards: make([]guard, 0, len(t.Conditions))}
+	for _, g := range t.Conditions {
+		w.Guards = append(w.Guards, guard{Key: g.Key, Stamp: g.Revision})
 	}
-	for _, s := range t.Apply {
+	for _, s := range t.Mutations {
 		if s.Value == nil {
 			w.Apply = append(w.Apply, change{Drop: s.Key})
 		} else {
@@ -63,8 +63,8 @@
 	return r
 }
 
-// DecodeItem reads one key.
-func DecodeItem(body []byte) (core.Item, error) {
+// DecodeKey reads one key.
+func DecodeKey(body []byte) (core.Item, error) {
 	var r row
 	if err := json.Unmarshal(body, &r); err != nil {
 		return core.Item{}, fmt.Errorf("key: %w", err)
@@ -72,10 +72,10 @@
 	return r.item(), nil
 }
 
-func (r row) item() core.Item { return core.Item{Key: r.Key, Value: r.Value, Stamp: r.Stamp} }
+func (r row) item() core.Item { return core.Item{Key: r.Key, Value: r.Value, Revision: r.Stamp} }
 
-// DecodeRows reads a page of keys.
-func DecodeRows(body []byte) (items []core.Item, more bool, ledger uint64, err error) {
+// DecodeKeys reads a page of keys.
+func DecodeKeys(body []byte) (items []core.Item, more bool, ledger uint64, err error) {
 	var l struct {
 		Rows      []row
 		Truncated bool
@@ -90,8 +90,8 @@
 	return items, l.Truncated, l.Ledger, nil
 }
 
-// DecodeNews reads changes.
-func DecodeNews(body []byte) ([]core.Item, uint64, error) {
+// DecodeChanges reads changes.
+func DecodeChanges(body []byte) ([]core.Item, uint64, error) {
 	var n struct {
 		Ledger uint64
 		News   []change
@@ -102,16 +102,16 @@
 	var out []core.Item
 	for _, c := range n.News {
 		if c.Drop != "" {
-			out = append(out, core.Item{Key: c.Drop, Stamp: c.Stamp})
+			out = append(out, core.Item{Key: c.Drop, Revision: c.Stamp})
 		} else {
-			out = append(out, core.Item{Key: c.Set, Value: c.Value, Stamp: c.Stamp})
+			out = append(out, core.Item{Key: c.Set, Value: c.Value, Revision: c.Stamp})
 		}
 	}
 	return out, n.Ledger, nil
 }
 
-// EncodeHold writes a request for a lease.
-func EncodeHold(ms int64) []byte {
+// EncodeLeaseRequest writes a request for a lease.
+func EncodeLeaseRequest(ms int64) []byte {
 	b, _ := json.Marshal(struct{ LifeMs int64 }{ms})
 	return b
 }
--- a/internal/wire/users.go
+++ b/internal/wire/users.go
@@ -18,11 +18,11 @@
 // MaxBody is the largest request body of the protocol.
 const MaxBody = 64 << 10
 
-// refForm is the form of every job id.
-var refForm = regexp.MustCompile(`^job-[0-9]{1,18}$`)
+// jobIDForm is the form of every job id.
+var jobIDForm = regexp.MustCompile(`^job-[0-9]{1,18}$`)
 
-// ValidRef says whether s has the form of a job id.
-func ValidRef(s string) bool { return refForm.MatchString(s) }
+// ValidJobID says whether s has the form of a job id.
+func ValidJobID(s string) bool { return jobIDForm.MatchString(s) }
 
 var urgencies = map[string]int{"production": 0, "high": 1, "normal": 2, "low": 3}
 
@@ -34,13 +34,13 @@
 	maxAmount  = 1e9
 )
 
-// DecodeRun reads a submission. When the body is malformed the error names the field
+// DecodeSubmission reads a submission. When the body is malformed the error names the field
 // and what is wrong with it, and the spec still carries the job's id if that much could
 // be read: the job may be known.
-func DecodeRun(body []byte) (core.Spec, error) {
-	var spec core.Spec
+func DecodeSubmission(body []byte) (core.JobSpec, error) {
+	var spec core.JobSpec
 	m, err := members(body)
-	if ref := ""; json.Unmarshal(m["Ref"], &ref) == nil && ValidRef(ref) {
+	if ref := ""; json.Unmarshal(m["Ref"], &ref) == nil && ValidJobID(ref) {
 		spec.ID = ref
 	}
 	if err != nil {
@@ -55,9 +55,9 @@
 		to   any
 	}{
 		{"Docket", &spec.Class}, {"Desk", &spec.Team}, {"Form", &form}, {"Urgency", &urgency}, {"Sheets", &spec.Tasks},
-		{"Cores", &spec.Need.Cores}, {"Cards", &spec.Need.Cards}, {"MemGb", &spec.Need.Mem}, {"Build", &spec.Image},
-		{"PullGb", &spec.ImageGB}, {"OneZone", &spec.OneZone}, {"Apart", &spec.Apart}, {"Loaners", &spec.Spot},
-		{"ExpectedS", &spec.Estimate}, {"BookmarkS", &spec.Checkpoint}, {"StowS", &spec.Save},
+		{"Cores", &spec.Need.Cores}, {"Cards", &spec.Need.GPUs}, {"MemGb", &spec.Need.MemoryGB}, {"Build", &spec.Image},
+		{"PullGb", &spec.ImageGB}, {"OneZone", &spec.OneZone}, {"Apart", &spec.SpreadZones}, {"Loaners", &spec.Spot},
+		{"ExpectedS", &spec.EstimateSeconds}, {"BookmarkS", &spec.CheckpointSeconds}, {"StowS", &spec.SaveSeconds},
 	} {
 		if absent(m[f.name]) {
 			return spec, fmt.Errorf("%s: missing", f.name)
@@ -69,7 +69,7 @@
 	for _, f := range []struct {
 		name string
 		to   any
-	}{{"Breeds", &spec.Types}, {"Yard", &spec.Zone}, {"DueS", &spec.Deadline}} {
+	}{{"Breeds", &spec.Types}, {"Yard", &spec.Zone}, {"DueS", &spec.DeadlineSeconds}} {
 		if absent(m[f.name]) {
 			continue
 		}
@@ -166,15 +166,15 @@
 	Running  int `json:"running"`
 }
 
-// EncodeRun writes a job's state as users see it.
-func EncodeRun(r core.RunState) []byte {
+// EncodeJobStatus writes a job's state as users see it.
+func EncodeJobStatus(r core.JobStatus) []byte {
 	s := standing{Ref: r.ID, Done: r.Done, Running: r.Running}
-	switch r.Standing {
-	case core.Active:
+	switch r.State {
+	case core.JobRunning:
 		s.Standing = "running"
-	case core.Complete:
+	case core.JobDone:
 		s.Standing = "done"
-	case core.Withdrawn:
+	case core.JobCancelled:
 		s.Standing = "withdrawn"
 	default:
 		s.Standing = "pending"
--- a/internal/wire/workers.go
+++ b/internal/wire/workers.go
@@ -24,14 +24,14 @@
 }
 
 var (
-	taskStates = map[string]int{"fetching": core.Fetching, "gathering": core.Gathering, "running": core.Running, "flushing": core.Saving, "ended": core.Ended}
-	taskCauses = map[string]int{"done": core.Done, "stopped": core.Stopped, "error": core.Failed, "full": core.NoRoom,
-		"in_use": core.InUse, "no_such": core.NoSuch, "peers": core.Lonely, "alone": core.Lonely}
-	verbs = map[int]string{core.Launch: "launch", core.Halt: "halt", core.Clear: "clear"}
+	taskStates = map[string]int{"fetching": core.TaskFetching, "gathering": core.TaskWaitingForGang, "running": core.TaskRunning, "flushing": core.TaskSaving, "ended": core.TaskExited}
+	taskCauses = map[string]int{"done": core.ExitDone, "stopped": core.ExitStopped, "error": core.ExitFailed, "full": core.ExitNoRoom,
+		"in_use": core.ExitInUse, "no_such": core.ExitNoSuchTask, "peers": core.ExitGangIncomplete, "alone": core.ExitGangIncomplete}
+	verbs = map[int]string{core.VerbLaunch: "launch", core.VerbStop: "halt", core.VerbForget: "clear"}
 )
 
-// DecodeReport reads a worker's report.
-func DecodeReport(body []byte) (*core.Report, error) {
+// DecodeWorkerStatus reads a worker's report.
+func DecodeWorkerStatus(body []byte) (*core.WorkerStatus, error) {
 	var b beat
 	if err := json.Unmarshal(body, &b); err != nil {
 		return nil, fmt.Errorf("report: %w", err)
@@ -39,17 +39,17 @@
 	if b.Host == "" || b.Yard == "" {
 		return nil, fmt.Errorf("report: Host and Yard are needed")
 	}
-	r := &core.Report{Host: b.Host, Addr: b.Endpoint, Type: b.Breed, Zone: b.Yard, Spot: b.Loaners,
-		Session: b.Shift, Seq: b.Tally, Token: b.Baton, Notice: -1, Tasks: make([]core.Reported, 0, len(b.Sheets))}
+	r := &core.WorkerStatus{Host: b.Host, Address: b.Endpoint, Type: b.Breed, Zone: b.Yard, Spot: b.Loaners,
+		Incarnation: b.Shift, Seq: b.Tally, Token: b.Baton, SpotNotice: -1, Tasks: make([]core.TaskStatus, 0, len(b.Sheets))}
 	if b.RecallS != nil {
-		r.Notice = max(*b.RecallS, 0)
+		r.SpotNotice = max(*b.RecallS, 0)
 	}
 	for _, s := range b.Sheets {
 		t, ok := parseTask(s.Sheet)
 		if !ok {
 			return nil, fmt.Errorf("report: Sheet %q", s.Sheet)
 		}
-		r.Tasks = append(r.Tasks, core.Reported{Task: t, Attempt: s.Try, State: taskStates[s.Standing],
+		r.Tasks = append(r.Tasks, core.TaskStatus{Task: t, Attempt: s.Try, State: taskStates[s.Standing],
 			Cause: taskCauses[s.Cause], Saved: s.Saved})
 	}
 	return r, nil
@@ -68,26 +68,26 @@
 	Orders []order
 }
 
-func encodeOrders(list []core.Order) []order {
+func encodeOrders(list []core.Command) []order {
 	out := make([]order, 0, len(list))
 	for _, o := range list {
 		w := order{Verb: verbs[o.Verb], Sheet: taskName(o.Task), Try: o.Attempt}
-		if o.Verb == core.Halt {
-			w.LeewayS = &o.Leeway
+		if o.Verb == core.VerbStop {
+			w.LeewayS = &o.GracePeriod
 		}
 		out = append(out, w)
 	}
 	return out
 }
 
-// EncodeBeatReply writes the answer to a report.
-func EncodeBeatReply(token uint64, list []core.Order) []byte {
+// EncodeHeartbeatReply writes the answer to a report.
+func EncodeHeartbeatReply(token uint64, list []core.Command) []byte {
 	b, _ := json.Marshal(orders{Baton: token, Orders: encodeOrders(list)})
 	return b
 }
 
-// EncodeForeman writes where a worker should report instead.
-func EncodeForeman(label string) []byte {
+// EncodeRedirect writes where a worker should report instead.
+func EncodeRedirect(label string) []byte {
 	var f struct {
 		Foreman string `json:",omitempty"`
 	}
@@ -96,8 +96,8 @@
 	return b
 }
 
-// EncodeOrders writes orders that go straight to a worker.
-func EncodeOrders(op core.OrdersOp) []byte {
-	b, _ := json.Marshal(orders{Baton: op.Token, Shift: &op.Session, Orders: encodeOrders(op.Orders)})
+// EncodeCommands writes orders that go straight to a worker.
+func EncodeCommands(op core.SendCommands) []byte {
+	b, _ := json.Marshal(orders{Baton: op.Token, Shift: &op.Incarnation, Orders: encodeOrders(op.Commands)})
 	return b
 }
