--- a/cmd/roadcleat/operators.go
+++ b/cmd/roadcleat/operators.go
@@ -200,7 +200,7 @@
 // the wait is longest, which comes first, the rest.
 func byClassAndTeam(queues []core.Queue) []core.Queue {
 	var out []core.Queue
-	at, parts := map[[2]string]int{}, map[int]int{}
+	at, shards := map[[2]string]int{}, map[int]int{}
 	for _, q := range queues {
 		k, seen := at[[2]string{q.Class, q.Team}]
 		if !seen {
@@ -208,10 +208,10 @@
 			out = append(out, q)
 			continue
 		}
-		parts[k]++
+		shards[k]++
 		out[k].Add(q.TaskCounts)
 	}
-	for k, n := range parts {
+	for k, n := range shards {
 		out[k].Shard += fmt.Sprintf(" (+%d)", n)
 	}
 	return out
--- a/internal/api/api.go
+++ b/internal/api/api.go
@@ -151,7 +151,7 @@
 }
 
 // user hands a user's request to the core and writes its answer.
-func (s *Server) user(w http.ResponseWriter, r *http.Request, wait time.Duration, ev any) {
+func (s *Server) user(w http.ResponseWriter, r *http.Request, wait time.Duration, ev core.Event) {
 	ctx, cancel := context.WithTimeout(r.Context(), wait)
 	defer cancel()
 	v, err := s.rt.Submit(ctx, ev)
--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -255,12 +255,12 @@
 		return nil
 	}
 	reports, each := o.Machines/s.Deployment.Workers.HeartbeatSeconds, share/heartbeatCoreSeconds
-	reckoning := fmt.Sprintf("[fleet] machines: %g machines report %.0f times a second; a controller with %g of a core takes about %.0f", o.Machines, reports, share, each)
+	sums := fmt.Sprintf("[fleet] machines: %g machines report %.0f times a second; a controller with %g of a core takes about %.0f", o.Machines, reports, share, each)
 	switch {
 	case reports > each*controllers:
-		return []string{fmt.Sprintf("%s, %g of them %.0f: more controllers or larger shares are needed", reckoning, controllers, each*controllers)}
+		return []string{fmt.Sprintf("%s, %g of them %.0f: more controllers or larger shares are needed", sums, controllers, each*controllers)}
 	case reports > each:
-		return []string{reckoning + ": one that is left alone can't serve them all, and leases of workers will run out"}
+		return []string{sums + ": one that is left alone can't serve them all, and leases of workers will run out"}
 	}
 	return nil
 }
@@ -313,10 +313,10 @@
 	if w.HeartbeatSeconds > w.LeaseSeconds/3 {
 		warn("deployment.workers.report_s: %g is more than a third of lease_s, %g: reports lost in a row cost a worker its lease", w.HeartbeatSeconds, w.LeaseSeconds)
 	}
-	report, lease, knobs := Seconds(w.HeartbeatSeconds), Seconds(w.LeaseSeconds), o.Tuning()
-	if found := knobs.FailoverTime(report, lease, false); found > lease {
+	report, lease, tuning := Seconds(w.HeartbeatSeconds), Seconds(w.LeaseSeconds), o.Tuning()
+	if found := tuning.FailoverTime(report, lease, false); found > lease {
 		warn("deployment.workers.lease_s: %g is less than the %.1f s in which workers find another controller at best when theirs ends, so its end costs running work", w.LeaseSeconds, found.Seconds())
-	} else if found = knobs.FailoverTime(report, lease, true); found > lease {
+	} else if found = tuning.FailoverTime(report, lease, true); found > lease {
 		warn("[parts] grace_s: %g is too long: with it workers find another zone's controller in %.1f s at best, and lease_s is %g", o.TakeoverDelaySeconds, found.Seconds(), w.LeaseSeconds)
 	}
 	return out
--- a/internal/core/backfill.go
+++ b/internal/core/backfill.go
@@ -244,11 +244,11 @@
 			}
 			until := c.now + time.Second
 			for _, task := range o.victims[:k] {
-				leeway := c.gracePeriodFor(job, task)
-				until = max(until, c.now+duration(leeway)+time.Second)
+				gracePeriod := c.gracePeriodFor(job, task)
+				until = max(until, c.now+duration(gracePeriod)+time.Second)
 				c.stats.Preempted++
-				c.log(1, "task stopped for a more urgent one", "job", task.id.Job, "task", task.id.Index, "host", o.host.name, "part", shard.name, "for", job.id, "leeway", leeway)
-				c.stopTask(shard, task, leeway)
+				c.info("task stopped for a more urgent one", "job", task.id.Job, "task", task.id.Index, "host", o.host.name, "part", shard.name, "for", job.id, "leeway", gracePeriod)
+				c.stopTask(shard, task, gracePeriod)
 			}
 			o.victims, o.free = o.victims[k:], free.plus(job.spec.Need, -1)
 			assignment.pendingPreemptions = append(assignment.pendingPreemptions, until)
--- a/internal/core/consolidation.go
+++ b/internal/core/consolidation.go
@@ -101,7 +101,7 @@
 		}
 		r.host.cordoned, r.host.cordonedAt = true, c.now
 		most--
-		c.log(1, "host cordoned", "host", r.host.name, "part", shard.name, "replicas", len(r.host.tasks))
+		c.info("host cordoned", "host", r.host.name, "part", shard.name, "replicas", len(r.host.tasks))
 		c.evictReplicas(shard, r.host)
 	}
 }
@@ -176,7 +176,7 @@
 	for _, id := range sortedTasks(host.tasks) {
 		task := host.tasks[id]
 		if job := task.job(); job != nil && job.spec.Service && task.phase == taskPlaced && task.assignment.allRun() {
-			c.log(1, "replica evicted", "job", id.Job, "task", id.Index, "host", host.name, "part", shard.name)
+			c.info("replica evicted", "job", id.Job, "task", id.Index, "host", host.name, "part", shard.name)
 			c.stopTask(shard, task, 0)
 		}
 	}
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -2,8 +2,8 @@
 
 import (
 	"encoding/json"
+	"log/slog"
 	"math/rand/v2"
-	"reflect"
 	"slices"
 	"strings"
 	"time"
@@ -57,8 +57,8 @@
 type Core struct {
 	cfg           Config
 	now           time.Duration
-	effects       []any
-	pendingCalls  map[uint64]func(any)
+	effects       []Effect
+	pendingCalls  map[uint64]func(Result)
 	lastCallID    uint64
 	callCounts    map[string]int // calls by kind since they were last logged
 	nextCallLogAt time.Duration
@@ -165,7 +165,7 @@
 // New makes a controller that owns nothing yet.
 func New(cfg Config) *Core {
 	c := &Core{
-		cfg: cfg, pendingCalls: map[uint64]func(any){}, callCounts: map[string]int{},
+		cfg: cfg, pendingCalls: map[uint64]func(Result){}, callCounts: map[string]int{},
 		rng:  rand.New(rand.NewPCG(cfg.Seed, cfg.Epoch)),
 		jobs: map[string]*Job{}, finished: map[string]JobState{}, submissionsByJob: map[string]*submission{}, openQueries: map[string][]uint64{},
 		jobCounts: map[string][]JobCounts{}, foreignHeartbeats: map[string]map[string]time.Duration{}, gossipSentAt: map[uint64]time.Duration{}, fetchSecondsPerGB: map[int]float64{},
@@ -190,7 +190,7 @@
 
 // Handle feeds one event at the given time and returns what is to be done.
 // The slice is valid until the next call.
-func (c *Core) Handle(now time.Duration, event any) []any {
+func (c *Core) Handle(now time.Duration, event Event) []Effect {
 	c.advanceClock(now)
 	c.effects = c.effects[:0]
 	switch e := event.(type) {
@@ -218,7 +218,7 @@
 
 // Advance does the work that is due after a batch of events: leases, views,
 // plans and commits. The slice is valid until the next call.
-func (c *Core) Advance(now time.Duration) []any {
+func (c *Core) Advance(now time.Duration) []Effect {
 	c.advanceClock(now)
 	c.effects = c.effects[:0]
 	c.flushSubmissions()
@@ -268,7 +268,7 @@
 // whoever took a part has changed the keys that guard every transaction.
 func (c *Core) handleClockJump(gap time.Duration) {
 	c.clockJumpAt = c.now
-	c.log(2, "stood still", "for", seconds(gap))
+	c.warn("stood still", "for", seconds(gap))
 	for _, shard := range c.shards {
 		if !shard.owned {
 			continue
@@ -300,17 +300,26 @@
 // neither returns nor hires machines for them.
 func (c *Core) leaseConfirmed() bool { return c.leaseRenewedAt >= c.clockJumpAt }
 
-func (c *Core) emit(e any) { c.effects = append(c.effects, e) }
+func (c *Core) emit(e Effect) { c.effects = append(c.effects, e) }
 
-func (c *Core) log(level int, text string, args ...any) {
-	c.emit(LogEvent{level, text, args})
-}
+func (c *Core) debug(text string, args ...any) { c.emit(LogEvent{slog.LevelDebug, text, args}) }
+
+func (c *Core) info(text string, args ...any) { c.emit(LogEvent{slog.LevelInfo, text, args}) }
 
-// call asks for something outside; then runs with its result.
-func (c *Core) call(op any, then func(any)) {
+func (c *Core) warn(text string, args ...any) { c.emit(LogEvent{slog.LevelWarn, text, args}) }
+
+// call asks for an operation outside; then runs with its result. The type of the result
+// follows from the operation.
+func call[R Result](c *Core, op operationOf[R], then func(R)) {
 	c.lastCallID++
-	c.pendingCalls[c.lastCallID] = then
-	c.callCounts[reflect.TypeOf(op).Name()]++
+	c.pendingCalls[c.lastCallID] = func(result Result) { then(result.(R)) }
+	c.countCall(op)
+	c.emit(Call{c.lastCallID, op})
+}
+
+// countCall counts a call for the log, and those to the state service for the budget.
+func (c *Core) countCall(op Operation) {
+	c.callCounts[op.operation()]++
 	switch op := op.(type) {
 	case CommitTxn:
 		c.callsSinceShare.Requests++
@@ -318,7 +327,6 @@
 	case ReadKey, ListKeys, WatchKeys, GrantLease, RenewLease:
 		c.callsSinceShare.Requests++
 	}
-	c.emit(Call{c.lastCallID, op})
 }
 
 // timer is something to do later.
@@ -351,10 +359,10 @@
 	c.nextCallLogAt = c.now + 15*time.Second
 	args := []any{"share", c.budgetShare.Requests}
 	for _, k := range sorted(c.callCounts) {
-		args = append(args, strings.ToLower(strings.TrimSuffix(k, "Op")), c.callCounts[k])
+		args = append(args, k, c.callCounts[k])
 	}
 	clear(c.callCounts)
-	c.log(1, "calls in 15 s", args...)
+	c.info("calls in 15 s", args...)
 }
 
 // updateBudgetShare divides the budgets. Of the cloud's calls most go to owners, by
@@ -387,12 +395,12 @@
 			owned++
 		}
 	}
-	all, parts := 1/float64(1+len(c.peers)), 0.0
+	all, shards := 1/float64(1+len(c.peers)), 0.0
 	if len(c.shards) > 0 {
-		parts = float64(owned) / float64(len(c.shards))
+		shards = float64(owned) / float64(len(c.shards))
 	}
 	s := BudgetShare{Requests: 0.3*all + 0.7*mine.Requests/sum.Requests, Changes: 0.25*all + 0.75*mine.Changes/sum.Changes,
-		Calls: 0.2*all + 0.8*parts}
+		Calls: 0.2*all + 0.8*shards}
 	if s != c.budgetShare {
 		c.budgetShare = s
 		c.emit(s)
@@ -410,8 +418,7 @@
 
 func (c *Core) readKey(key string, urgent bool, then func(ReadResult)) {
 	sent := c.now
-	c.call(ReadKey{key, urgent}, func(r any) {
-		res := r.(ReadResult)
+	call(c, ReadKey{key, urgent}, func(res ReadResult) {
 		c.recordStoreOutcome(sent, res.Outcome == OutcomeOK)
 		then(res)
 	})
@@ -423,8 +430,7 @@
 
 func (c *Core) commitWith(op CommitTxn, then func(CommitResult)) {
 	sent := c.now
-	c.call(op, func(r any) {
-		res := r.(CommitResult)
+	call(c, op, func(res CommitResult) {
 		c.recordStoreOutcome(sent, res.Outcome == OutcomeOK || res.Outcome == OutcomeRefused)
 		then(res)
 	})
@@ -449,9 +455,8 @@
 		return
 	}
 	c.catalogPending, c.catalogRequestedAt = true, c.now
-	c.call(ReadCatalog{}, func(r any) {
+	call(c, ReadCatalog{}, func(res CatalogResult) {
 		c.catalogPending = false
-		res := r.(CatalogResult)
 		c.recordCloudOutcome(res.Outcome == OutcomeOK)
 		if res.Outcome != OutcomeOK || len(res.Types) == 0 {
 			return
--- a/internal/core/dealing.go
+++ b/internal/core/dealing.go
@@ -165,7 +165,7 @@
 func (c *Core) zoneHolds(job *Job, shard *Shard) bool {
 	for t := range c.types {
 		typ := &c.types[t]
-		if contains(typ.Zones, shard.name) && job.spec.Need.plan().Within(typ.Capacity.plan()) &&
+		if slices.Contains(typ.Zones, shard.name) && job.spec.Need.plan().Within(typ.Capacity.plan()) &&
 			c.allowedOn(job, c.kindIndex(shard.zone, t, false)) {
 			return true
 		}
@@ -236,10 +236,10 @@
 	// The rest of a large job in the same proportions, within the limit, as long as a
 	// part can have that many placed at a time; what is beyond it would only wait there
 	// and goes to all parts.
-	dealt := n - left
+	distributed := n - left
 	for z := range counts {
-		if dealt > 0 && left > 0 && counts[z] > 0 {
-			more := min(left, (n-dealt)*counts[z]/dealt, most-counts[z], max(at-counts[z], 0))
+		if distributed > 0 && left > 0 && counts[z] > 0 {
+			more := min(left, (n-distributed)*counts[z]/distributed, most-counts[z], max(at-counts[z], 0))
 			counts[z] += more
 			left -= more
 		}
@@ -259,7 +259,7 @@
 		}
 	}
 	for z := range counts {
-		if len(byZone[z]) > 0 || dealt == 0 {
+		if len(byZone[z]) > 0 || distributed == 0 {
 			more := min(left, most-counts[z])
 			counts[z] += more
 			left -= more
--- a/internal/core/demand.go
+++ b/internal/core/demand.go
@@ -135,7 +135,7 @@
 	may := c.mayStartTasks() && c.storeReachable() && c.fleetKnown(shard)
 	if c.noHeartbeats(shard) && !shard.hadNoHeartbeats {
 		shard.hadNoHeartbeats = true
-		c.log(2, "part is dark: none of its workers is heard here", "part", shard.name, "token", shard.token)
+		c.warn("part is dark: none of its workers is heard here", "part", shard.name, "token", shard.token)
 	}
 	clear(shard.exports)
 	if may {
@@ -311,7 +311,7 @@
 			}
 		}
 	}
-	c.log(1, "part load", "part", shard.name, "token", shard.token, "cores", all, "spot", spot, "booting", boots,
+	c.info("part load", "part", shard.name, "token", shard.token, "cores", all, "spot", spot, "booting", boots,
 		"running", run, "fetching", wait, "demand", demand)
 }
 
--- a/internal/core/explain.go
+++ b/internal/core/explain.go
@@ -2,6 +2,7 @@
 
 import (
 	"fmt"
+	"slices"
 	"sort"
 )
 
@@ -92,7 +93,7 @@
 	case t.state == 0:
 		return "launched, not reported yet"
 	}
-	return [...]string{TaskFetching: "fetching its image", TaskWaitingForGang: "waiting for its gang", TaskRunning: "running", TaskSaving: "saving", TaskExited: "ended"}[t.state]
+	return t.state.String()
 }
 
 // DescribePlacements lists what this controller holds for on machines, for tests and logs.
@@ -110,7 +111,7 @@
 		for _, host := range shard.hostList() {
 			for _, id := range sortedTasks(host.tasks) {
 				task := host.tasks[id]
-				out = append(out, fmt.Sprintf("%s: %v attempt %d on %s (%s, host state %d)", shard.name, id, task.attempt, host.name, task.stateName(), host.state))
+				out = append(out, fmt.Sprintf("%s: %v attempt %d on %s (%s, host %s)", shard.name, id, task.attempt, host.name, task.stateName(), host.state))
 			}
 		}
 	}
@@ -169,7 +170,7 @@
 			if h := first[kind]; h != nil && (next == nil || h.expectedUpAt < next.expectedUpAt) {
 				next = h
 			}
-			if contains(c.types[t].Zones, shard.name) {
+			if slices.Contains(c.types[t].Zones, shard.name) {
 				toHire++
 				if c.now < shard.exhaustedUntil[MachineKind{c.types[t].Name, spot}] {
 					refused++
--- a/internal/core/faults.go
+++ b/internal/core/faults.go
@@ -83,7 +83,7 @@
 		job.holdUntil = max(job.holdUntil, c.now+time.Second)
 		return
 	}
-	c.log(1, "task failed", "job", job.id, "task", task.id.Index, "host", host.name, "attempt", task.attempt)
+	c.info("task failed", "job", job.id, "task", task.id.Index, "host", host.name, "attempt", task.attempt)
 	job.failures++
 	c.stats.Failed++
 	job.holdUntil = max(job.holdUntil, c.now+300*time.Millisecond)
@@ -107,7 +107,7 @@
 		}
 	case len(job.failedOn) >= suspectAfterHosts:
 		job.failedTrials = 1
-		c.log(2, "job in doubt: its tasks fail on every machine", "job", job.id, "class", job.spec.Class, "team", job.spec.Team, "hosts", job.failedHosts())
+		c.warn("job in doubt: its tasks fail on every machine", "job", job.id, "class", job.spec.Class, "team", job.spec.Team, "hosts", job.failedHosts())
 		c.clearBlame(shard, job)
 	}
 	if job.failedTrials > 0 && c.now >= job.nextTrialAt {
@@ -137,7 +137,7 @@
 	if sum >= faultyAfterFailures && !host.faulty {
 		host.faulty = true
 		shard.needsPlan = true
-		c.log(2, "host faulty: different jobs' tasks fail on it, or one that runs elsewhere", "host", host.name, "part", shard.name, "failures", sum)
+		c.warn("host faulty: different jobs' tasks fail on it, or one that runs elsewhere", "host", host.name, "part", shard.name, "failures", sum)
 	}
 }
 
@@ -165,7 +165,7 @@
 // clearSuspicion ends the doubt about a job. What it failed on is then to blame after all.
 func (c *Core) clearSuspicion(job *Job) {
 	if job.failedTrials > 0 {
-		c.log(1, "job no longer in doubt", "job", job.id)
+		c.info("job no longer in doubt", "job", job.id)
 		job.failedTrials, job.nextTrialAt, job.holdUntil = 0, 0, 0
 	}
 	for _, shard := range c.shards {
--- a/internal/core/hiring.go
+++ b/internal/core/hiring.go
@@ -3,6 +3,7 @@
 import (
 	"fmt"
 	"math"
+	"slices"
 	"sort"
 	"time"
 )
@@ -52,7 +53,7 @@
 func (c *Core) offers(shard *Shard) []MachineKind {
 	var out []MachineKind
 	for _, t := range c.types {
-		if !contains(t.Zones, shard.name) {
+		if !slices.Contains(t.Zones, shard.name) {
 			continue
 		}
 		for _, spot := range []bool{true, false} {
@@ -169,7 +170,7 @@
 			continue
 		}
 		for t := range c.types {
-			if types&(1<<t) == 0 || !contains(c.types[t].Zones, other.name) || c.isExhausted(other, MachineKind{c.types[t].Name, true}) {
+			if types&(1<<t) == 0 || !slices.Contains(c.types[t].Zones, other.name) || c.isExhausted(other, MachineKind{c.types[t].Name, true}) {
 				continue
 			}
 			if wait := c.queueSeconds(other, priority)[t]; wait < max(c.types[t].BootSeconds, here[t]) && (best == nil || wait < least) {
@@ -187,7 +188,7 @@
 			continue
 		}
 		for t := range c.types {
-			if types&(1<<t) != 0 && contains(c.types[t].Zones, other.name) && !c.isExhausted(other, MachineKind{c.types[t].Name, true}) {
+			if types&(1<<t) != 0 && slices.Contains(c.types[t].Zones, other.name) && !c.isExhausted(other, MachineKind{c.types[t].Name, true}) {
 				return true
 			}
 		}
@@ -270,7 +271,7 @@
 			return 0
 		}
 		more := min(count, maxRentedAtOnce-rental.request.Count)
-		c.log(0, "hiring more", "name", rental.request.Name, "number", more, "for", why)
+		c.debug("hiring more", "name", rental.request.Name, "number", more, "for", why)
 		rental.request.Count += more
 		return more
 	}
@@ -278,7 +279,7 @@
 		return 0
 	}
 	count = min(count, maxRentedAtOnce)
-	c.log(0, "to hire", "type", o.Type, "spot", o.Spot, "number", count, "for", why, "part", shard.name)
+	c.debug("to hire", "type", o.Type, "spot", o.Spot, "number", count, "for", why, "part", shard.name)
 	shard.rentalSeq++
 	// The token makes the name this ownership's own, the counter this request's.
 	name := fmt.Sprintf("r-%s-%d-%d", shard.name, shard.token, shard.rentalSeq)
@@ -288,29 +289,28 @@
 }
 
 func (c *Core) sendRentals(shard *Shard) {
-	tenure := shard.term
+	term := shard.term
 	for _, rental := range shard.rentals {
 		if rental.pending || c.now < rental.retryAt {
 			continue
 		}
 		rental.pending = true
 		rental.attempts++
-		c.log(1, "hiring", "name", rental.request.Name, "type", rental.request.Type, "spot", rental.request.Spot, "number", rental.request.Count, "part", shard.name, "token", shard.token)
-		c.call(rental.request, func(x any) {
-			if !shard.owned || shard.term != tenure {
+		c.info("hiring", "name", rental.request.Name, "type", rental.request.Type, "spot", rental.request.Spot, "number", rental.request.Count, "part", shard.name, "token", shard.token)
+		call(c, rental.request, func(res RentResult) {
+			if !shard.owned || shard.term != term {
 				return
 			}
 			rental.pending = false
-			res := x.(RentResult)
 			switch res.Outcome {
 			case OutcomeOK:
 				c.onRented(shard, rental, res.Hosts)
 			case OutcomeRefused:
 				shard.exhaustedUntil[MachineKind{rental.request.Type, rental.request.Spot}] = c.now + 20*time.Second
-				c.log(1, "no capacity", "type", rental.request.Type, "spot", rental.request.Spot, "part", shard.name)
+				c.info("no capacity", "type", rental.request.Type, "spot", rental.request.Spot, "part", shard.name)
 			default:
-				if rental.attempts < 30 {
-					rental.retryAt = c.now + 700*time.Millisecond
+				if rental.attempts < maxRentalAttempts {
+					rental.retryAt = c.now + retryCloudCall
 					return
 				}
 			}
--- a/internal/core/hosts.go
+++ b/internal/core/hosts.go
@@ -1,19 +1,43 @@
 package core
 
-import "time"
+import (
+	"fmt"
+	"time"
+)
+
+// hostState is the state of a machine, as its shard's owner sees it.
+type hostState int
 
-// States of a machine, as its part's owner sees it.
+// States of a machine.
 const (
-	hostBooting = iota + 1
+	hostBooting hostState = iota + 1
 	hostUp
 	hostReturning // asked the cloud to take it back
 	hostGone      // the cloud has taken it back
 )
 
-// Phases of a task on its way through a machine.
+// String names the state for operators.
+func (s hostState) String() string {
+	switch s {
+	case hostBooting:
+		return "booting"
+	case hostUp:
+		return "up"
+	case hostReturning:
+		return "returning"
+	case hostGone:
+		return "gone"
+	}
+	return fmt.Sprintf("host state %d", int(s))
+}
+
+// taskPhase is how far a task's placement on a machine has come.
+type taskPhase int
+
+// Phases of a placement.
 const (
-	taskPlacing = iota + 1 // booked; the placement is not durable yet
-	taskPlaced             // the placement is durable; it may be launched
+	taskPlacing taskPhase = iota + 1 // booked; the placement is not durable yet
+	taskPlaced                       // the placement is durable; the task may be launched
 )
 
 // Host is a machine of a part.
@@ -22,7 +46,7 @@
 	shard         *Shard
 	typeIndex     int // -1 while unknown
 	spot          bool
-	state         int
+	state         hostState
 
 	rentedAt, expectedUpAt time.Duration
 	giveUpAt               time.Duration // when a machine that has not come up is returned
@@ -75,8 +99,8 @@
 	assignment      *Assignment // nil: nobody wants it any more
 	host            *Host
 	attempt         uint64
-	phase           int
-	state           int
+	phase           taskPhase
+	state           TaskState
 	need            Resources
 	team            int
 	placedAt        time.Duration
--- a/internal/core/jobs.go
+++ b/internal/core/jobs.go
@@ -4,6 +4,7 @@
 	"encoding/json"
 	"maps"
 	"math"
+	"slices"
 	"time"
 )
 
@@ -52,23 +53,23 @@
 
 func (j *Job) key() string { return "job/" + j.id }
 
-func (j *Job) record(standing string) *jobRecord {
-	return &jobRecord{j.spec, standing, j.split, j.moves}
+func (j *Job) record(state string) *jobRecord {
+	return &jobRecord{j.spec, state, j.split, j.moves}
 }
 
-func (j *Job) encode(standing string) []byte {
-	v, _ := json.Marshal(j.record(standing))
+func (j *Job) encode(state string) []byte {
+	v, _ := json.Marshal(j.record(state))
 	return v
 }
 
 // applyJobRecord applies a job's key as read, written or told. Final standings are
 // kept for ever; they never change again.
-func (c *Core) applyJobRecord(id string, value []byte, stamp uint64) *Job {
+func (c *Core) applyJobRecord(id string, value []byte, revision uint64) *Job {
 	if _, over := c.finished[id]; over {
 		return nil
 	}
 	job := c.jobs[id]
-	if job != nil && stamp <= job.revision {
+	if job != nil && revision <= job.revision {
 		return job
 	}
 	var v jobRecord
@@ -81,20 +82,20 @@
 			s = JobCancelled
 		}
 		if s == JobCancelled {
-			c.recentCancellations = append(c.recentCancellations, cancellationNotice{c.now, c.gossipSeq + 1, Item{"job/" + id, cancelledRecord, stamp}})
+			c.recentCancellations = append(c.recentCancellations, cancellationNotice{c.now, c.gossipSeq + 1, Item{"job/" + id, cancelledRecord, revision}})
 		}
 		c.finishJob(id, s)
 		return nil
 	}
 	if job == nil {
-		job = c.newJob(id, v.Spec, stamp)
+		job = c.newJob(id, v.Spec, revision)
 		c.jobs[id] = job
 		if len(c.types) > 0 {
 			c.rememberClassTypes(job)
 		}
 	}
 	moved := v.Moves > job.moves
-	job.revision, job.split, job.moves, job.maxRecordBytes = stamp, v.Split, v.Moves, 0
+	job.revision, job.split, job.moves, job.maxRecordBytes = revision, v.Split, v.Moves, 0
 	for _, zone := range sorted(v.Split) {
 		r := v.Split[zone]
 		z := c.zones.lookup(zone)
@@ -109,8 +110,8 @@
 			continue
 		}
 		if job.moves == 0 {
-			sv, _ := json.Marshal(assignmentRecord{Waiting: r})
-			c.adoptAssignment(shard, id, sv, stamp)
+			record, _ := json.Marshal(assignmentRecord{Waiting: r})
+			c.adoptAssignment(shard, id, record, revision)
 			continue
 		}
 		c.readAssignment(shard, id)
@@ -120,8 +121,8 @@
 
 // readAssignment takes up a slice that the part should have.
 func (c *Core) readAssignment(shard *Shard, id string) {
-	tenure := shard.term
-	valid := func() bool { return shard.owned && shard.loaded && shard.term == tenure }
+	term := shard.term
+	valid := func() bool { return shard.owned && shard.loaded && shard.term == term }
 	c.readUntilAnswered(assignmentKey(shard.name, id), valid, func(res ReadResult) {
 		if res.Found {
 			c.applyAssignmentRecord(shard, id, res.Item.Value, res.Item.Revision)
@@ -139,7 +140,7 @@
 		case res.Outcome == OutcomeOK:
 			then(res)
 		default:
-			c.after(300*time.Millisecond, func() {
+			c.after(retryStoreCall, func() {
 				if valid() {
 					c.readUntilAnswered(key, valid, then)
 				}
@@ -152,10 +153,10 @@
 // is for one that does not exist. What a refusal names differs; of the rest it
 // says nothing, for it need not name every key. When it names none, all are taken
 // to differ.
-func (c *Core) compareRevisions(ids []string, stamps map[string]uint64, then func(out Outcome, rest, differ []string)) {
+func (c *Core) compareRevisions(ids []string, revisions map[string]uint64, then func(out Outcome, rest, differ []string)) {
 	var t Txn
 	for _, id := range ids {
-		t.Conditions = append(t.Conditions, Condition{"job/" + id, stamps[id]})
+		t.Conditions = append(t.Conditions, Condition{"job/" + id, revisions[id]})
 	}
 	c.commit(t, true, func(res CommitResult) {
 		if res.Outcome != OutcomeRefused {
@@ -164,7 +165,7 @@
 		}
 		var rest, differ []string
 		for _, id := range ids {
-			if contains(res.FailedKeys, "job/"+id) {
+			if slices.Contains(res.FailedKeys, "job/"+id) {
 				differ = append(differ, id)
 			} else {
 				rest = append(rest, id)
@@ -178,12 +179,12 @@
 }
 
 // compareAllRevisions does so for any number of jobs, until there is an answer for each.
-func (c *Core) compareAllRevisions(ids []string, stamps map[string]uint64, valid func() bool, same, differs func(id string)) {
+func (c *Core) compareAllRevisions(ids []string, revisions map[string]uint64, valid func() bool, same, differs func(id string)) {
 	if len(ids) == 0 || !valid() {
 		return
 	}
 	n := min(len(ids), 4*c.cfg.MaxTxnOps)
-	c.compareRevisions(ids[:n:n], stamps, func(out Outcome, rest, differ []string) {
+	c.compareRevisions(ids[:n:n], revisions, func(out Outcome, rest, differ []string) {
 		if !valid() {
 			return
 		}
@@ -198,16 +199,16 @@
 				differs(id)
 			}
 		default:
-			c.after(300*time.Millisecond, func() { c.compareAllRevisions(ids, stamps, valid, same, differs) })
+			c.after(retryStoreCall, func() { c.compareAllRevisions(ids, revisions, valid, same, differs) })
 			return
 		}
-		c.compareAllRevisions(append(rest, ids[n:]...), stamps, valid, same, differs)
+		c.compareAllRevisions(append(rest, ids[n:]...), revisions, valid, same, differs)
 	})
 }
 
-func (c *Core) newJob(id string, spec JobSpec, stamp uint64) *Job {
+func (c *Core) newJob(id string, spec JobSpec, revision uint64) *Job {
 	spec.ID = id
-	job := &Job{id: id, spec: spec, arrivalRevision: stamp, knownSince: c.now, image: -1, team: c.teams.lookup(spec.Team), class: c.classes.indexOf(spec.Class)}
+	job := &Job{id: id, spec: spec, arrivalRevision: revision, knownSince: c.now, image: -1, team: c.teams.lookup(spec.Team), class: c.classes.indexOf(spec.Class)}
 	if spec.Image != "" {
 		job.image = c.imageIndex(&spec)
 	}
@@ -247,12 +248,12 @@
 // rereadUnfinishedJobs looks at every unfinished job again, after changes may have been
 // missed.
 func (c *Core) rereadUnfinishedJobs() {
-	ids, stamps := sorted(c.jobs), map[string]uint64{}
+	ids, revisions := sorted(c.jobs), map[string]uint64{}
 	for _, id := range ids {
-		stamps[id] = c.jobs[id].revision
+		revisions[id] = c.jobs[id].revision
 	}
 	always := func() bool { return true }
-	c.compareAllRevisions(ids, stamps, always, func(string) {}, func(id string) {
+	c.compareAllRevisions(ids, revisions, always, func(string) {}, func(id string) {
 		c.readUntilAnswered("job/"+id, always, func(res ReadResult) {
 			if res.Found {
 				c.applyJobRecord(id, res.Item.Value, res.Item.Revision)
@@ -298,7 +299,7 @@
 )
 
 func (c *Core) rejectRequest(req uint64, status, after int, why string) {
-	c.log(0, "refused", "status", status, "why", why)
+	c.debug("refused", "status", status, "why", why)
 	c.emit(UserReply{RequestID: req, Status: status, RetryAfter: after, Text: why})
 }
 
@@ -370,11 +371,11 @@
 	if team < 0 {
 		return "unknown team"
 	}
-	lim, times := c.teamConfigs[team].Limit, 1.0
+	limit, times := c.teamConfigs[team].Limit, 1.0
 	if s.Service || s.Gang {
 		times = float64(s.Tasks)
 	}
-	if lim.Cores > 0 && s.Need.Cores*times > lim.Cores+1e-6 || lim.GPUs > 0 && s.Need.GPUs*times > lim.GPUs+1e-6 {
+	if limit.Cores > 0 && s.Need.Cores*times > limit.Cores+1e-6 || limit.GPUs > 0 && s.Need.GPUs*times > limit.GPUs+1e-6 {
 		return "needs more than the team's limit"
 	}
 	if s.OneZone && s.SpreadZones && s.Tasks > 1 {
@@ -386,7 +387,7 @@
 	zones := map[string]bool{}
 	for i := range c.types {
 		t := &c.types[i]
-		if s.Need.plan().Within(t.Capacity.plan()) && (len(s.Types) == 0 || contains(s.Types, t.Name)) {
+		if s.Need.plan().Within(t.Capacity.plan()) && (len(s.Types) == 0 || slices.Contains(s.Types, t.Name)) {
 			for _, z := range t.Zones {
 				zones[z] = zones[z] || s.Zone == "" || s.Zone == z
 			}
@@ -402,15 +403,6 @@
 	return ""
 }
 
-func contains(list []string, s string) bool {
-	for _, x := range list {
-		if x == s {
-			return true
-		}
-	}
-	return false
-}
-
 // lookUpJob answers with the job's state if the store has it, else does absent.
 func (c *Core) lookUpJob(req uint64, id string, absent func()) {
 	c.readKey("job/"+id, false, func(res ReadResult) {
@@ -484,8 +476,8 @@
 			t.Mutations = append(t.Mutations, Mutation{Key: job.key(), Value: value})
 			for _, zone := range c.zones.names {
 				if r, ok := submission.split[zone]; ok {
-					sv, _ := json.Marshal(assignmentRecord{Waiting: r, Job: job.record("")})
-					t.Mutations = append(t.Mutations, Mutation{Key: assignmentKey(zone, submission.spec.ID), Value: sv})
+					record, _ := json.Marshal(assignmentRecord{Waiting: r, Job: job.record("")})
+					t.Mutations = append(t.Mutations, Mutation{Key: assignmentKey(zone, submission.spec.ID), Value: record})
 				}
 			}
 			group = append(group, submission)
@@ -510,17 +502,17 @@
 func (c *Core) finishSubmissions(group []*submission, t Txn, res CommitResult) {
 	switch res.Outcome {
 	case OutcomeOK:
-		var news []Item
+		var changes []Item
 		for _, s := range t.Mutations {
 			if len(s.Key) > 4 && s.Key[:4] == "job/" {
-				news = append(news, Item{s.Key, s.Value, res.Revision})
+				changes = append(changes, Item{s.Key, s.Value, res.Revision})
 				c.applyJobRecord(s.Key[4:], s.Value, res.Revision)
 			}
 		}
-		c.broadcast(Message{Jobs: news})
+		c.broadcast(Message{Jobs: changes})
 		for _, submission := range group {
 			delete(c.submissionsByJob, submission.spec.ID)
-			c.log(1, "job accepted", "job", submission.spec.ID, "class", submission.spec.Class, "tasks", submission.spec.Tasks, "parts", len(submission.split), "after", seconds(c.now-submission.arrived))
+			c.info("job accepted", "job", submission.spec.ID, "class", submission.spec.Class, "tasks", submission.spec.Tasks, "parts", len(submission.split), "after", seconds(c.now-submission.arrived))
 			for i, req := range submission.requests {
 				status := 201
 				if i > 0 {
@@ -533,7 +525,7 @@
 	case OutcomeRefused:
 		// Some of them are known already; the others go one by one.
 		for _, submission := range group {
-			if !contains(res.FailedKeys, "job/"+submission.spec.ID) {
+			if !slices.Contains(res.FailedKeys, "job/"+submission.spec.ID) {
 				submission.ownTxn = true
 				c.requeueSubmission(submission)
 				continue
@@ -617,20 +609,20 @@
 
 // verifyQueries answers the questions about the jobs given.
 func (c *Core) verifyQueries(ids []string, reqs map[string][]uint64) {
-	stamps := make(map[string]uint64, len(ids))
+	revisions := make(map[string]uint64, len(ids))
 	for _, id := range ids {
 		if j := c.jobs[id]; j != nil {
-			stamps[id] = j.revision
+			revisions[id] = j.revision
 		}
 	}
 	c.openVerifications++
-	c.compareRevisions(ids, stamps, func(out Outcome, rest, differ []string) {
+	c.compareRevisions(ids, revisions, func(out Outcome, rest, differ []string) {
 		c.openVerifications--
 		switch out {
 		case OutcomeOK:
 			for _, id := range rest {
 				for _, req := range reqs[id] {
-					c.answerQuery(req, id, stamps[id] > 0)
+					c.answerQuery(req, id, revisions[id] > 0)
 				}
 			}
 		case OutcomeRefused:
@@ -700,7 +692,7 @@
 				c.tryCancel(e, tries-1)
 				return
 			}
-			c.log(1, "job withdrawn", "job", e.ID)
+			c.info("job withdrawn", "job", e.ID)
 			c.applyJobRecord(e.ID, value, res.Revision)
 			c.broadcast(Message{Jobs: []Item{{key, value, res.Revision}}})
 			c.emit(UserReply{RequestID: e.RequestID, Status: 200, Job: JobStatus{ID: e.ID, State: JobCancelled}})
--- a/internal/core/launches.go
+++ b/internal/core/launches.go
@@ -15,7 +15,7 @@
 func (c *Core) onPlaced(shard *Shard, task *Task) {
 	task.phase = taskPlaced
 	c.stats.Placed++
-	c.log(1, "task placed", "job", task.id.Job, "task", task.id.Index, "host", task.host.name, "part", shard.name, "token", shard.token, "attempt", task.attempt)
+	c.info("task placed", "job", task.id.Job, "task", task.id.Index, "host", task.host.name, "part", shard.name, "token", shard.token, "attempt", task.attempt)
 	host := task.host
 	switch {
 	case host.state == hostGone:
@@ -67,7 +67,7 @@
 	} else {
 		assignment.waiting.add(task.id.Index)
 		c.stats.Requeued++
-		c.log(1, "task back in the queue", "job", task.id.Job, "task", task.id.Index, "host", task.host.name, "part", shard.name)
+		c.info("task back in the queue", "job", task.id.Job, "task", task.id.Index, "host", task.host.name, "part", shard.name)
 	}
 	c.recordExit(shard, assignment, done)
 	shard.needsPlan = true
@@ -90,7 +90,7 @@
 }
 
 // stopTask stops a task. One that was never sent anywhere is off its host at once.
-func (c *Core) stopTask(shard *Shard, task *Task, leeway float64) {
+func (c *Core) stopTask(shard *Shard, task *Task, gracePeriod float64) {
 	if !task.launchSent && !task.inherited && !task.reported {
 		kept := task.host.commands[:0]
 		for _, o := range task.host.commands {
@@ -102,11 +102,11 @@
 		c.confirmExit(shard, task, false)
 		return
 	}
-	if task.stopping && leeway >= task.gracePeriod {
+	if task.stopping && gracePeriod >= task.gracePeriod {
 		return
 	}
-	task.stopping, task.gracePeriod, task.stopRequestedAt = true, leeway, c.now
-	shard.enqueue(task.host, Command{Verb: VerbStop, Task: task.id, Attempt: task.attempt, GracePeriod: leeway})
+	task.stopping, task.gracePeriod, task.stopRequestedAt = true, gracePeriod, c.now
+	shard.enqueue(task.host, Command{Verb: VerbStop, Task: task.id, Attempt: task.attempt, GracePeriod: gracePeriod})
 }
 
 // enqueue notes an order for a host; the part looks only at hosts that have some.
@@ -154,7 +154,7 @@
 		return
 	}
 	n := min(len(host.commands), 100)
-	var orders []Command
+	var commands []Command
 	for _, o := range host.commands[:n] {
 		if o.Verb == VerbLaunch {
 			task := host.tasks[o.Task]
@@ -164,23 +164,22 @@
 			task.launchSent = true
 			host.launchesInFlight[launchKey{o.Task, o.Attempt}] = sentLaunch{shard.token, host.incarnation}
 		}
-		orders = append(orders, o)
+		commands = append(commands, o)
 	}
 	host.commands = append(host.commands[:0], host.commands[n:]...)
-	if len(orders) == 0 {
+	if len(commands) == 0 {
 		return
 	}
 	host.commandPending = true
 	token := shard.token
-	tenure := shard.term
-	c.call(SendCommands{host.address, token, host.incarnation, orders}, func(r any) {
+	term := shard.term
+	call(c, SendCommands{host.address, token, host.incarnation, commands}, func(res WorkerResult) {
 		host.commandPending = false
-		if !shard.owned || shard.term != tenure {
+		if !shard.owned || shard.term != term {
 			return
 		}
-		res := r.(WorkerResult)
 		c.recordWorkerAnswer(shard, host, res.Outcome == OutcomeOK || res.Outcome == OutcomeRefused)
-		for _, o := range orders {
+		for _, o := range commands {
 			if o.Verb != VerbLaunch || res.Outcome == OutcomeUnknown {
 				continue
 			}
@@ -227,12 +226,11 @@
 		c.openProbes--
 		host.probing = false
 	}
-	tenure, token := shard.term, shard.token
-	hear := func(r any) bool {
-		if !shard.owned || shard.term != tenure {
+	term, token := shard.term, shard.token
+	accept := func(res WorkerResult) bool {
+		if !shard.owned || shard.term != term {
 			return false
 		}
-		res := r.(WorkerResult)
 		heard := res.Status != nil && res.Status.Host == host.name
 		c.recordWorkerAnswer(shard, host, heard)
 		host.failedProbes++
@@ -240,20 +238,20 @@
 			host.failedProbes = 0
 			c.applyWorkerStatus(shard, host, res.Status, false)
 		}
-		return heard && shard.owned && shard.term == tenure
+		return heard && shard.owned && shard.term == term
 	}
 	order := func() {
-		c.call(SendCommands{host.address, token, host.incarnation, nil}, func(r any) {
+		call(c, SendCommands{host.address, token, host.incarnation, nil}, func(res WorkerResult) {
 			over()
-			hear(r)
+			accept(res)
 		})
 	}
 	if host.incarnation > 0 {
 		order()
 		return
 	}
-	c.call(ReadWorkerStatus{host.address}, func(r any) {
-		if hear(r) {
+	call(c, ReadWorkerStatus{host.address}, func(res WorkerResult) {
+		if accept(res) {
 			order()
 		} else {
 			over()
@@ -276,6 +274,6 @@
 	host.commands = nil
 	clear(host.launchesInFlight)
 	clear(host.reported)
-	c.log(1, "lease of host ran out", "host", host.name, "part", shard.name, "tasks", len(host.tasks))
+	c.info("lease of host ran out", "host", host.name, "part", shard.name, "tasks", len(host.tasks))
 	c.confirmAllExits(shard, host, func(*Task) bool { return true })
 }
--- a/internal/core/market.go
+++ b/internal/core/market.go
@@ -65,8 +65,8 @@
 					r.byKind[c.kindIndex(z, host.typeIndex, host.spot)]++
 				}
 			}
-			for _, hiring := range shard.rentals {
-				r.byKind[c.kindIndex(z, hiring.typeIndex, hiring.request.Spot)] += float64(hiring.request.Count)
+			for _, rental := range shard.rentals {
+				r.byKind[c.kindIndex(z, rental.typeIndex, rental.request.Spot)] += float64(rental.request.Count)
 			}
 		} else if shard.view != nil {
 			for i := range shard.view.Hosts {
@@ -85,7 +85,7 @@
 	zones := make([]int, len(r.mostInZone))
 	for z, shard := range c.shards {
 		for k := range r.mostInZone {
-			if !contains(c.types[k/2].Zones, shard.name) {
+			if !slices.Contains(c.types[k/2].Zones, shard.name) {
 				continue
 			}
 			n := r.byKind[c.kindIndex(z, k/2, k&1 == 1)]
@@ -116,7 +116,7 @@
 	var out []device
 	for t := range c.types {
 		typ := &c.types[t]
-		if !contains(typ.Zones, shard.name) {
+		if !slices.Contains(typ.Zones, shard.name) {
 			continue
 		}
 		for _, spot := range []bool{true, false} {
--- a/internal/core/moves.go
+++ b/internal/core/moves.go
@@ -19,11 +19,11 @@
 	if shard.movePending || c.now < shard.nextMoveAt || shard.txnPending || shard.claiming || shard.handingOver || len(shard.unknownKeys) > 0 || !c.mayStartTasks() {
 		return
 	}
-	dark := c.noHeartbeats(shard) // machines that should be up any moment are not heard either
+	silent := c.noHeartbeats(shard) // machines that should be up any moment are not heard either
 	for _, n := range shard.unplaced {
 		job := n.job
 		assignment := shard.assignments[job.id]
-		if assignment == nil || n.startsIn < moveGain && !dark || !movable(job) || assignment.completing || len(assignment.unrecordedExits) > 0 || c.now < assignment.nextMoveAt {
+		if assignment == nil || n.startsIn < moveGain && !silent || !movable(job) || assignment.completing || len(assignment.unrecordedExits) > 0 || c.now < assignment.nextMoveAt {
 			continue
 		}
 		to, count := c.betterShard(shard, assignment, n)
@@ -172,10 +172,10 @@
 		if empty {
 			txn.assignments, txn.droppedJobs = nil, []string{job.id}
 		}
-		stamp := assignment.revision
+		revision := assignment.revision
 		txn.onRollBack = func() {
 			for _, i := range ids {
-				if assignment.revision == stamp && assignment.tasks[i] == nil && !assignment.done.has(i) {
+				if assignment.revision == revision && assignment.tasks[i] == nil && !assignment.done.has(i) {
 					assignment.waiting.add(i)
 				}
 			}
@@ -185,7 +185,7 @@
 		delete(shard.dirty, job.id)
 		c.forgetDemand(shard, job, len(ids))
 		c.stats.Rebalanced += uint64(len(ids))
-		c.log(1, "tasks moved", "job", job.id, "tasks", len(ids), "from", shard.name, "to", to.name, "token", shard.token)
+		c.info("tasks moved", "job", job.id, "tasks", len(ids), "from", shard.name, "to", to.name, "token", shard.token)
 		c.sendTxn(txn)
 	})
 }
@@ -216,10 +216,10 @@
 // Nothing else may ever write the slice, as when its replicas run, and the tasks would
 // wait unseen. Where some wait, the next placement finds out.
 func (c *Core) checkForMovedTasks(shard *Shard, id string) {
-	tenure := shard.term
+	term := shard.term
 	unsure := func() bool {
 		assignment, job := shard.assignments[id], c.jobs[id]
-		return shard.owned && shard.loaded && shard.term == tenure && assignment != nil && job != nil && assignment.revision < job.revision && len(assignment.waiting) == 0
+		return shard.owned && shard.loaded && shard.term == term && assignment != nil && job != nil && assignment.revision < job.revision && len(assignment.waiting) == 0
 	}
 	c.after(moveAnnouncedWithin, func() {
 		switch {
--- a/internal/core/parts.go
+++ b/internal/core/parts.go
@@ -102,12 +102,11 @@
 	sent := c.now
 	if c.leaseID == 0 {
 		c.leasePending = true
-		c.call(GrantLease{c.cfg.Tuning.LeaseTTL}, func(r any) {
+		call(c, GrantLease{c.cfg.Tuning.LeaseTTL}, func(res LeaseResult) {
 			c.leasePending = false
-			res := r.(LeaseResult)
 			c.recordStoreOutcome(sent, res.Outcome == OutcomeOK)
 			if res.Outcome != OutcomeOK {
-				c.leaseRetryAt = c.now + 500*time.Millisecond
+				c.leaseRetryAt = c.now + retryLeaseGrant
 				return
 			}
 			c.leaseID, c.leaseRenewedAt = res.Lease, sent
@@ -119,9 +118,8 @@
 	}
 	c.leasePending = true
 	lease := c.leaseID
-	c.call(RenewLease{lease}, func(r any) {
+	call(c, RenewLease{lease}, func(res RenewResult) {
 		c.leasePending = false
-		res := r.(RenewResult)
 		c.recordStoreOutcome(sent, res.Outcome == OutcomeOK || res.Outcome == OutcomeRefused)
 		switch res.Outcome {
 		case OutcomeOK:
@@ -129,7 +127,7 @@
 		case OutcomeRefused:
 			// The lease has ended and with it the keys of my parts. Another
 			// controller may have held them since.
-			c.log(2, "lease ended", "lease", lease)
+			c.warn("lease ended", "lease", lease)
 			c.leaseID = 0
 			for _, shard := range c.shards {
 				if shard.owned {
@@ -139,7 +137,7 @@
 			}
 			c.shardWatch.loaded = false
 		default:
-			c.leaseRetryAt = c.now + 300*time.Millisecond
+			c.leaseRetryAt = c.now + retryStoreCall
 		}
 	})
 }
@@ -156,12 +154,11 @@
 	if !watch.loaded {
 		// The jobs' view starts at the present; whatever this controller needs
 		// of the past it reads key by key.
-		c.call(ListKeys{"part/"}, func(r any) {
+		call(c, ListKeys{"part/"}, func(res ListResult) {
 			watch.pending = false
-			res := r.(ListResult)
 			c.recordStoreOutcome(sent, res.Outcome == OutcomeOK)
 			if res.Outcome != OutcomeOK {
-				watch.nextCallAt = c.now + 300*time.Millisecond
+				watch.nextCallAt = c.now + retryStoreCall
 				return
 			}
 			watch.loaded, watch.revision, watch.knownUntil, watch.knownFrom, watch.hasData = true, res.Revision, sent, sent, true
@@ -178,9 +175,8 @@
 		})
 		return
 	}
-	c.call(WatchKeys{watch.prefix, watch.revision, c.watchTimeout(watch)}, func(r any) {
+	call(c, WatchKeys{watch.prefix, watch.revision, c.watchTimeout(watch)}, func(res WatchResult) {
 		watch.pending = false
-		res := r.(WatchResult)
 		switch res.Outcome {
 		case OutcomeOK:
 			watch.revision = max(watch.revision, res.Revision)
@@ -197,7 +193,7 @@
 			watch.loaded = false
 		default:
 			c.recordStoreOutcome(sent, false)
-			watch.nextCallAt = c.now + 300*time.Millisecond
+			watch.nextCallAt = c.now + retryStoreCall
 		}
 	})
 }
@@ -226,18 +222,18 @@
 
 // applyShardRecord applies what the store says of a part. A deletion carries the
 // revision of the deletion.
-func (c *Core) applyShardRecord(shard *Shard, value []byte, stamp uint64) {
-	if stamp < shard.revision || shard.claiming {
+func (c *Core) applyShardRecord(shard *Shard, value []byte, revision uint64) {
+	if revision < shard.revision || shard.claiming {
 		return
 	}
 	if value == nil {
-		if shard.owned && stamp > shard.token {
+		if shard.owned && revision > shard.token {
 			c.loseShard(shard, "key removed")
 		}
 		if shard.owned {
 			return
 		}
-		shard.recordKnown, shard.removedRevision = true, max(shard.removedRevision, stamp)
+		shard.recordKnown, shard.removedRevision = true, max(shard.removedRevision, revision)
 		if shard.owner != "" || shard.freeSince == 0 {
 			shard.freeSince = c.now
 		}
@@ -248,15 +244,15 @@
 	if json.Unmarshal(value, &v) != nil {
 		return
 	}
-	if shard.owned && stamp > shard.token {
+	if shard.owned && revision > shard.token {
 		c.loseShard(shard, "claimed by "+v.Owner)
 	}
-	shard.recordKnown, shard.owner, shard.revision, shard.freeSince = true, v.Owner, stamp, 0
+	shard.recordKnown, shard.owner, shard.revision, shard.freeSince = true, v.Owner, revision, 0
 }
 
 // loseShard ends ownership at once.
 func (c *Core) loseShard(shard *Shard, why string) {
-	c.log(2, "part lost", "part", shard.name, "token", shard.token, "why", why)
+	c.warn("part lost", "part", shard.name, "token", shard.token, "why", why)
 	fresh := newShard(shard.zone, shard.name)
 	fresh.rentalSeq = shard.rentalSeq
 	*shard = *fresh
@@ -369,7 +365,7 @@
 			c.loseShard(shard, "claim not confirmed")
 		}
 		shard.recordKnown = false
-		shard.retryAt = c.now + 200*time.Millisecond
+		shard.retryAt = c.now + retryClaim
 		c.rereadShard(shard)
 	})
 }
@@ -377,7 +373,7 @@
 func (c *Core) rereadShard(shard *Shard) {
 	c.readKey(shard.key(), true, func(res ReadResult) {
 		if res.Outcome != OutcomeOK {
-			shard.retryAt = c.now + 500*time.Millisecond
+			shard.retryAt = c.now + retryShardRead
 			c.shardWatch.loaded = false // the next listing settles it
 			return
 		}
@@ -407,7 +403,7 @@
 			q.mustReread, q.rereadAfter = true, c.now
 		}
 	}
-	c.log(1, "part claimed", "part", shard.name, "token", shard.token, "again", again)
+	c.info("part claimed", "part", shard.name, "token", shard.token, "again", again)
 	for _, h := range shard.hostList() {
 		h.nextProbeAt = 0
 	}
@@ -421,9 +417,9 @@
 // jobs at once, and only those that have changed are read.
 func (c *Core) loadShard(shard *Shard) {
 	shard.loading = true
-	tenure := shard.term
-	valid := func() bool { return shard.owned && shard.term == tenure }
-	c.call(ListKeys{"slice/" + shard.name + "/"}, func(r any) {
+	term := shard.term
+	valid := func() bool { return shard.owned && shard.term == term }
+	call(c, ListKeys{"slice/" + shard.name + "/"}, func(res ListResult) {
 		if !valid() {
 			return
 		}
@@ -434,16 +430,15 @@
 				}
 			})
 		}
-		res := r.(ListResult)
 		if res.Outcome != OutcomeOK {
-			again(300 * time.Millisecond)
+			again(retryStoreCall)
 			return
 		}
 		for _, it := range res.Items {
 			// Taken for empty, its tasks would count for nobody and start again.
 			if json.Unmarshal(it.Value, &assignmentRecord{}) != nil {
-				c.log(2, "slice unreadable, part not served", "key", it.Key, "part", shard.name, "token", shard.token)
-				again(5 * time.Second)
+				c.warn("slice unreadable, part not served", "key", it.Key, "part", shard.name, "token", shard.token)
+				again(retryUnreadable)
 				return
 			}
 		}
@@ -460,9 +455,9 @@
 					c.readAssignment(shard, id)
 				}
 			}
-			c.log(1, "part loaded", "part", shard.name, "token", shard.token, "slices", len(shard.assignments))
+			c.info("part loaded", "part", shard.name, "token", shard.token, "slices", len(shard.assignments))
 		}
-		items, stamps := map[string]Item{}, map[string]uint64{}
+		items, revisions := map[string]Item{}, map[string]uint64{}
 		jobs := map[string][]byte{}
 		var told, unknown []string
 		for _, it := range res.Items {
@@ -473,17 +468,17 @@
 				unknown = append(unknown, id)
 				continue
 			}
-			stamps[id] = v.JobRevision
+			revisions[id] = v.JobRevision
 			if v.JobRevision == 0 {
-				stamps[id] = it.Revision
+				revisions[id] = it.Revision
 			}
 			jobs[id], _ = json.Marshal(v.Job)
 			told = append(told, id)
 		}
 		read := func(id string) {
-			c.readUntilAnswered("job/"+id, valid, func(jr ReadResult) {
-				if jr.Found {
-					c.restoreAssignment(shard, id, jr.Item.Value, jr.Item.Revision, items[id])
+			c.readUntilAnswered("job/"+id, valid, func(jobResult ReadResult) {
+				if jobResult.Found {
+					c.restoreAssignment(shard, id, jobResult.Item.Value, jobResult.Item.Revision, items[id])
 				}
 				done()
 			})
@@ -496,8 +491,8 @@
 		for _, id := range unknown {
 			read(id)
 		}
-		c.compareAllRevisions(told, stamps, valid, func(id string) {
-			c.restoreAssignment(shard, id, jobs[id], stamps[id], items[id])
+		c.compareAllRevisions(told, revisions, valid, func(id string) {
+			c.restoreAssignment(shard, id, jobs[id], revisions[id], items[id])
 			done()
 		}, read)
 	})
@@ -505,13 +500,13 @@
 
 // restoreAssignment takes up a slice together with its job as they were found when
 // the part was loaded.
-func (c *Core) restoreAssignment(shard *Shard, id string, value []byte, stamp uint64, it Item) {
-	if job := c.applyJobRecord(id, value, stamp); job != nil {
+func (c *Core) restoreAssignment(shard *Shard, id string, value []byte, revision uint64, it Item) {
+	if job := c.applyJobRecord(id, value, revision); job != nil {
 		c.adoptAssignmentOf(shard, job, it.Value, it.Revision)
 	} else if s, over := c.finished[id]; over {
 		var v jobRecord
 		_ = json.Unmarshal(value, &v) // at worst the job has no team
-		job := c.newJob(id, v.Spec, stamp)
+		job := c.newJob(id, v.Spec, revision)
 		job.state = s
 		c.adoptAssignmentOf(shard, job, it.Value, it.Revision)
 	}
@@ -642,7 +637,7 @@
 // take it.
 func (c *Core) handOver(shard *Shard, to *Peer, why string) {
 	shard.handingOver = true
-	c.log(1, "part handed over", "part", shard.name, "token", shard.token, "to", to.Label, "why", why)
+	c.info("part handed over", "part", shard.name, "token", shard.token, "to", to.Label, "why", why)
 	name := shard.name
 	c.commit(Txn{Conditions: []Condition{{shard.key(), shard.revision}}, Mutations: []Mutation{{Key: shard.key()}}}, true, func(CommitResult) {
 		// Whatever the answer, the office is laid down; the key is read again.
@@ -652,7 +647,7 @@
 				c.emit(SendToPeer{i, Message{Epoch: c.cfg.Epoch, ReleasedShards: []string{name}}})
 			}
 		}
-		shard.retryAt = c.now + c.cfg.Tuning.TakeoverDelay + 2*time.Second
+		shard.retryAt = c.now + c.cfg.Tuning.TakeoverDelay + reclaimAfterHandover
 		c.rereadShard(shard)
 	})
 }
@@ -670,16 +665,16 @@
 	if !c.jobWatch.hasData {
 		return own, false
 	}
-	vouched := c.now
+	confirmed := c.now
 	for _, peer := range c.peers {
 		// A life of it that began after my own view ended can't speak for what
 		// the one before had told users.
 		if peer.epochSince > own {
 			return own, true
 		}
-		vouched = min(vouched, peer.confirmedUntil)
+		confirmed = min(confirmed, peer.confirmedUntil)
 	}
-	return max(own, vouched), true
+	return max(own, confirmed), true
 }
 
 // mayStartTasks says whether work may be started: only while withdrawals arrive.
--- a/internal/core/peers.go
+++ b/internal/core/peers.go
@@ -319,7 +319,7 @@
 				continue
 			}
 			can := 1.0 // machines that can be hired at once
-			if contains(c.types[t].Zones, shard.name) && !c.isExhausted(shard, MachineKind{c.types[t].Name, true}) {
+			if slices.Contains(c.types[t].Zones, shard.name) && !c.isExhausted(shard, MachineKind{c.types[t].Name, true}) {
 				can = imaginedHosts
 			}
 			for prio, w := range work[i] {
--- a/internal/core/planning.go
+++ b/internal/core/planning.go
@@ -2,6 +2,7 @@
 
 import (
 	"math/bits"
+	"slices"
 	"time"
 
 	"roadcleat/internal/plan"
@@ -87,11 +88,11 @@
 		}
 		job := task.job()
 		if host.faulty || job == nil || c.expectedEnd(task) > host.reclaimedAt || job.spec.Service {
-			leeway := 0.0
+			gracePeriod := 0.0
 			if job != nil && job.spec.CheckpointSeconds > 0 && task.state == TaskRunning {
-				leeway = job.spec.SaveSeconds + 1
+				gracePeriod = job.spec.SaveSeconds + 1
 			}
-			c.stopTask(shard, task, leeway)
+			c.stopTask(shard, task, gracePeriod)
 		}
 	}
 }
@@ -157,7 +158,7 @@
 		job.fittingTypes, job.fittingTypesOf = 0, len(c.types)
 		for t := range c.types {
 			if t < 64 && job.spec.Need.plan().Within(c.types[t].Capacity.plan()) &&
-				(len(job.spec.Types) == 0 || contains(job.spec.Types, c.types[t].Name)) {
+				(len(job.spec.Types) == 0 || slices.Contains(job.spec.Types, c.types[t].Name)) {
 				job.fittingTypes |= 1 << t
 			}
 		}
--- a/internal/core/quota.go
+++ b/internal/core/quota.go
@@ -118,11 +118,11 @@
 }
 
 // apply applies what the store holds.
-func (q *TeamQuota) apply(found bool, value []byte, stamp uint64) {
-	if q.known && stamp < q.revision && found {
+func (q *TeamQuota) apply(found bool, value []byte, revision uint64) {
+	if q.known && revision < q.revision && found {
 		return
 	}
-	q.known, q.revision, q.grants = true, stamp, map[string]grant{}
+	q.known, q.revision, q.grants = true, revision, map[string]grant{}
 	if !found {
 		q.revision = 0
 		return
@@ -135,8 +135,8 @@
 	}
 }
 
-func (c *Core) applyQuotaRecord(quota *TeamQuota, found bool, value []byte, stamp uint64) {
-	quota.apply(found, value, stamp)
+func (c *Core) applyQuotaRecord(quota *TeamQuota, found bool, value []byte, revision uint64) {
+	quota.apply(found, value, revision)
 	for _, p := range c.shards {
 		p.needsPlan = true
 	}
@@ -161,13 +161,13 @@
 
 // limits says whether a team's limit concerns tasks of need at all. What it does
 // not concern needs no grants.
-func (lim Resources) limits(need Resources) bool {
-	return need.Cores > 0 && lim.Cores > 0 || need.GPUs > 0 && lim.GPUs > 0
+func (limit Resources) limits(need Resources) bool {
+	return need.Cores > 0 && limit.Cores > 0 || need.GPUs > 0 && limit.GPUs > 0
 }
 
 // within says whether use keeps to a grant, as far as the limit concerns it.
-func (lim Resources) within(used Resources, g grant) bool {
-	return (lim.Cores == 0 || used.Cores <= g.Cores+1e-6) && (lim.GPUs == 0 || used.GPUs <= g.GPUs+1e-6)
+func (limit Resources) within(used Resources, g grant) bool {
+	return (limit.Cores == 0 || used.Cores <= g.Cores+1e-6) && (limit.GPUs == 0 || used.GPUs <= g.GPUs+1e-6)
 }
 
 // teamRoom is how many more tasks of need the team may run in the part: within
@@ -182,20 +182,20 @@
 // knownTeamRoom is the same for operators' questions, which must not change anything: what
 // they ask of the outside is never carried out, and would be waited for for ever.
 func (c *Core) knownTeamRoom(shard *Shard, team int, need Resources) int {
-	quota, lim := c.quotas[team], c.teamConfigs[team].Limit
+	quota, limit := c.quotas[team], c.teamConfigs[team].Limit
 	n := math.MaxInt32
-	if !lim.limits(need) {
+	if !limit.limits(need) {
 		return n
 	}
 	if !quota.known || quota.mustReread {
 		return 0
 	}
 	sum, mine, used := quota.sum(), quota.grants[shard.name], shard.teamUsage[team]
-	if need.Cores > 0 && lim.Cores > 0 {
-		n = min(n, wholeTasks((mine.Cores+lim.Cores-sum.Cores-used.Cores+1e-6)/need.Cores))
+	if need.Cores > 0 && limit.Cores > 0 {
+		n = min(n, wholeTasks((mine.Cores+limit.Cores-sum.Cores-used.Cores+1e-6)/need.Cores))
 	}
-	if need.GPUs > 0 && lim.GPUs > 0 {
-		n = min(n, wholeTasks((mine.GPUs+lim.GPUs-sum.GPUs-used.GPUs+1e-6)/need.GPUs))
+	if need.GPUs > 0 && limit.GPUs > 0 {
+		n = min(n, wholeTasks((mine.GPUs+limit.GPUs-sum.GPUs-used.GPUs+1e-6)/need.GPUs))
 	}
 	return max(n, 0)
 }
@@ -203,18 +203,18 @@
 // grownGrants returns the part's grant large enough for what it uses, in chunks, or
 // false when it is large enough already.
 func (c *Core) grownGrants(shard *Shard, team int) (map[string]grant, bool) {
-	quota, lim := c.quotas[team], c.teamConfigs[team].Limit
+	quota, limit := c.quotas[team], c.teamConfigs[team].Limit
 	mine, used, sum := quota.grants[shard.name], shard.teamUsage[team], quota.sum()
 	sure := quota.reliableGrant(shard.name)
-	if lim.within(used, sure) {
+	if limit.within(used, sure) {
 		return nil, false
 	}
 	want := mine
-	if lim.Cores > 0 && used.Cores > mine.Cores {
-		want.Cores = min(used.Cores+lim.Cores/16, mine.Cores+lim.Cores-sum.Cores)
+	if limit.Cores > 0 && used.Cores > mine.Cores {
+		want.Cores = min(used.Cores+limit.Cores/16, mine.Cores+limit.Cores-sum.Cores)
 	}
-	if lim.GPUs > 0 && used.GPUs > mine.GPUs {
-		want.GPUs = min(used.GPUs+lim.GPUs/16, mine.GPUs+lim.GPUs-sum.GPUs)
+	if limit.GPUs > 0 && used.GPUs > mine.GPUs {
+		want.GPUs = min(used.GPUs+limit.GPUs/16, mine.GPUs+limit.GPUs-sum.GPUs)
 	}
 	next := maps.Clone(quota.grants) // known, so there is a map
 	next[shard.name] = want
@@ -224,8 +224,8 @@
 // fitsGrant says whether all that the part has placed or is placing of a team
 // fits into its grant, or will once the grant has grown.
 func (c *Core) fitsGrant(shard *Shard, team int, txn *pendingTxn) bool {
-	quota, used, lim := c.quotas[team], shard.teamUsage[team], c.teamConfigs[team].Limit
-	if lim == (Resources{}) {
+	quota, used, limit := c.quotas[team], shard.teamUsage[team], c.teamConfigs[team].Limit
+	if limit == (Resources{}) {
 		return true
 	}
 	if !quota.known || quota.mustReread {
@@ -237,7 +237,7 @@
 			return true
 		}
 	}
-	return lim.within(used, g[shard.name])
+	return limit.within(used, g[shard.name])
 }
 
 // releaseGrant returns the part's idle grant of a team: at once when another part
@@ -254,18 +254,18 @@
 	if quota.readPending || shard.txnPending || shard.claiming || shard.handingOver || len(shard.unknownKeys) > 0 {
 		return false
 	}
-	mine, used, lim := quota.grants[shard.name], shard.teamUsage[team], c.teamConfigs[team].Limit
-	if lim.Cores == 0 {
+	mine, used, limit := quota.grants[shard.name], shard.teamUsage[team], c.teamConfigs[team].Limit
+	if limit.Cores == 0 {
 		used.Cores = 0
 	}
-	if lim.GPUs == 0 {
+	if limit.GPUs == 0 {
 		used.GPUs = 0
 	}
 	if quota.idleSince == nil {
 		quota.idleSince = map[string]time.Duration{}
 	}
 	if mine.Cores-used.Cores <= 1e-6 && mine.GPUs-used.GPUs <= 1e-6 ||
-		!now && mine.Cores-used.Cores <= lim.Cores/8 && mine.GPUs-used.GPUs <= lim.GPUs/8 {
+		!now && mine.Cores-used.Cores <= limit.Cores/8 && mine.GPUs-used.GPUs <= limit.GPUs/8 {
 		delete(quota.idleSince, shard.name)
 		return false
 	}
--- a/internal/core/reports.go
+++ b/internal/core/reports.go
@@ -30,7 +30,7 @@
 	}
 	host.unreachable = true
 	shard.needsPlan = true
-	c.log(1, "host is deaf", "host", host.name, "part", shard.name, "why", why)
+	c.info("host is deaf", "host", host.name, "part", shard.name, "why", why)
 }
 
 // handleHeartbeat answers a worker's report.
@@ -109,7 +109,7 @@
 			task.launchSent, task.launchInReply = true, true
 		}
 		if task.stopping {
-			if _, flying := host.launchesInFlight[launchKey{id, task.attempt}]; flying && !shown {
+			if _, inFlight := host.launchesInFlight[launchKey{id, task.attempt}]; inFlight && !shown {
 				// The launch may still come. Once the worker knows the attempt, it
 				// has no effect any more. While the job lives that costs a start
 				// at most; after a withdrawal see launchMayCome.
@@ -166,7 +166,7 @@
 // the worker would take it for a new one. So the end must be durable and no
 // launch of the attempt may be under way.
 func (c *Core) mayForget(shard *Shard, host *Host, r TaskStatus) bool {
-	if _, flying := host.launchesInFlight[launchKey{r.Task, r.Attempt}]; flying {
+	if _, inFlight := host.launchesInFlight[launchKey{r.Task, r.Attempt}]; inFlight {
 		return false
 	}
 	assignment := shard.assignments[r.Task.Job]
@@ -209,7 +209,7 @@
 	if host.state == hostBooting {
 		host.state, host.since, host.idleSince = hostUp, c.now, c.now
 		shard.needsPlan = true
-		c.log(1, "host up", "host", host.name, "part", shard.name, "after", seconds(c.now-host.rentedAt))
+		c.info("host up", "host", host.name, "part", shard.name, "after", seconds(c.now-host.rentedAt))
 	}
 	if status.Incarnation > host.incarnation {
 		c.beginIncarnation(shard, host, status.Incarnation)
@@ -218,7 +218,7 @@
 	c.recordContact(host)
 	if shard.lastHeartbeatAt = c.now; shard.hadNoHeartbeats {
 		shard.hadNoHeartbeats = false
-		c.log(1, "part heard again", "part", shard.name, "token", shard.token)
+		c.info("part heard again", "part", shard.name, "token", shard.token)
 	}
 	if status.Token > host.token {
 		host.token = status.Token
@@ -235,7 +235,7 @@
 	if status.SpotNotice >= 0 && host.reclaimedAt == 0 {
 		host.reclaimedAt = max(c.now+duration(status.SpotNotice), 1)
 		shard.needsPlan = true
-		c.log(1, "host recalled", "host", host.name, "part", shard.name, "in", status.SpotNotice)
+		c.info("host recalled", "host", host.name, "part", shard.name, "in", status.SpotNotice)
 	}
 	clear(host.reported)
 	for _, r := range status.Tasks {
@@ -257,8 +257,8 @@
 		} else if ok && r.State != TaskExited {
 			continue // another attempt of it is there: the task has not left
 		}
-		_, flying := host.launchesInFlight[launchKey{id, task.attempt}]
-		if host.token < shard.term || flying || host.commandPending {
+		_, inFlight := host.launchesInFlight[launchKey{id, task.attempt}]
+		if host.token < shard.term || inFlight || host.commandPending {
 			continue
 		}
 		switch {
@@ -274,16 +274,16 @@
 
 // beginIncarnation: the worker's lease had run out, and it has killed and forgotten
 // every task of earlier sessions. Late orders of earlier sessions are refused.
-func (c *Core) beginIncarnation(shard *Shard, host *Host, session uint64) {
+func (c *Core) beginIncarnation(shard *Shard, host *Host, incarnation uint64) {
 	for k, l := range host.launchesInFlight {
-		if l.incarnation < session {
+		if l.incarnation < incarnation {
 			delete(host.launchesInFlight, k)
 		}
 	}
 	if host.incarnation == 0 {
 		return
 	}
-	c.log(1, "host has a new session", "host", host.name, "part", shard.name, "session", session)
+	c.info("host has a new session", "host", host.name, "part", shard.name, "session", incarnation)
 	if host.confirmedAt > 0 && host.lastAnswer > 0 && c.now < host.lastAnswer+c.cfg.WorkerLease && (c.clockJumpAt == 0 || c.now > c.clockJumpAt+c.cfg.WorkerLease) {
 		// A report was answered within the lease, and yet it ran out: the
 		// answer did not arrive. That one was sent proves nothing. Not so after
--- a/internal/core/returns.go
+++ b/internal/core/returns.go
@@ -49,7 +49,7 @@
 	if host.judgedTasks >= 4 && n > 0 && host.slowness > farTooSlow*max(usual/n, 1) && !host.faulty {
 		host.faulty = true
 		shard.needsPlan = true
-		c.log(1, "host far too slow", "host", host.name, "part", shard.name, "factor", host.slowness)
+		c.info("host far too slow", "host", host.name, "part", shard.name, "factor", host.slowness)
 	}
 }
 
@@ -104,7 +104,7 @@
 				c.checkWorkerLease(shard, host)
 			}
 			if why := c.whyReturn(shard, host, cutOff); why != "" && sure {
-				c.log(1, "host not wanted", "host", host.name, "part", shard.name, "why", why, "tasks", len(host.tasks))
+				c.info("host not wanted", "host", host.name, "part", shard.name, "why", why, "tasks", len(host.tasks))
 				back = append(back, host)
 			}
 		}
@@ -163,15 +163,15 @@
 			host.commands = nil
 			names = append(names, host.name)
 		}
-		c.log(1, "hosts returned", "part", shard.name, "token", shard.token, "hosts", names)
-		tenure := shard.term
-		c.call(ReturnHosts{names}, func(r any) {
-			if !shard.owned || shard.term != tenure {
+		c.info("hosts returned", "part", shard.name, "token", shard.token, "hosts", names)
+		term := shard.term
+		call(c, ReturnHosts{names}, func(res ReturnResult) {
+			if !shard.owned || shard.term != term {
 				return
 			}
-			if r.(ReturnResult).Outcome != OutcomeOK {
+			if res.Outcome != OutcomeOK {
 				for _, h := range group {
-					h.returnAt = c.now + 700*time.Millisecond
+					h.returnAt = c.now + retryCloudCall
 				}
 				return
 			}
@@ -187,7 +187,7 @@
 func (c *Core) onHostReturned(shard *Shard, host *Host) {
 	host.state = hostGone
 	c.meterUsage(host)
-	c.log(1, "host gone", "host", host.name, "part", shard.name, "type", c.typeName(host), "spot", host.spot,
+	c.info("host gone", "host", host.name, "part", shard.name, "type", c.typeName(host), "spot", host.spot,
 		"boot_s", seconds(max(host.since-host.rentedAt, 0)), "up_s", seconds(c.now-host.since), "ran", host.ranCoreSeconds, "held", host.heldCoreSeconds)
 	shard.returnedHosts[host.name] = c.now
 	c.confirmAllExits(shard, host, func(*Task) bool { return true })
@@ -222,15 +222,14 @@
 			sent[shard] = shard.term
 		}
 	}
-	c.call(ListHosts{}, func(r any) {
+	call(c, ListHosts{}, func(res HostsResult) {
 		c.listPending = false
 		c.nextListAt = max(c.nextListAt, c.now+listPauseFactor*(c.now-asked))
-		res := r.(HostsResult)
 		if res.Outcome != OutcomeNotSent { // not a call left out for want of tokens
 			c.recordCloudOutcome(res.Outcome == OutcomeOK)
 		}
 		if res.Outcome != OutcomeOK {
-			c.nextListAt = c.now + 2*time.Second
+			c.nextListAt = c.now + retryHostList
 			return
 		}
 		listed := make(map[string]bool, len(res.Hosts))
@@ -250,7 +249,7 @@
 				host.expectedUpAt = host.rentedAt + duration(c.bootSeconds(l.Type))
 				host.expectedUpAt = max(host.expectedUpAt, c.now+2*time.Second)
 				host.giveUpAt = max(host.rentedAt+c.bootTimeout(c.bootSeconds(l.Type)), c.now+5*time.Second)
-				c.log(1, "host adopted", "host", host.name, "part", shard.name, "state", l.State)
+				c.info("host adopted", "host", host.name, "part", shard.name, "state", l.State)
 			}
 			if host.address == "" {
 				host.address = l.Address
@@ -262,8 +261,8 @@
 				host.state, host.returnAt = hostReturning, c.now
 			}
 		}
-		for shard, tenure := range sent {
-			if !shard.owned || shard.term != tenure {
+		for shard, term := range sent {
+			if !shard.owned || shard.term != term {
 				continue
 			}
 			shard.hostsListed = true
--- a/internal/core/slices.go
+++ b/internal/core/slices.go
@@ -67,8 +67,8 @@
 }
 
 // record is what a slice is for the store, its job being as given.
-func (a *Assignment) record(job *Job, stamp uint64) *assignmentRecord {
-	v := &assignmentRecord{Waiting: a.waiting, Done: a.done, LastAttempt: a.lastAttempt, Job: job.record(""), JobRevision: stamp, FailedTrials: a.job.failedTrials}
+func (a *Assignment) record(job *Job, revision uint64) *assignmentRecord {
+	v := &assignmentRecord{Waiting: a.waiting, Done: a.done, LastAttempt: a.lastAttempt, Job: job.record(""), JobRevision: revision, FailedTrials: a.job.failedTrials}
 	for _, i := range sorted(a.tasks) {
 		task := a.tasks[i]
 		v.Placed = append(v.Placed, placement{i, task.host.name, task.attempt})
@@ -77,36 +77,36 @@
 }
 
 // adoptAssignment takes a slice that this controller has no memory of.
-func (c *Core) adoptAssignment(shard *Shard, id string, value []byte, stamp uint64) {
+func (c *Core) adoptAssignment(shard *Shard, id string, value []byte, revision uint64) {
 	if j := c.jobs[id]; j != nil {
-		c.adoptAssignmentOf(shard, j, value, stamp)
+		c.adoptAssignmentOf(shard, j, value, revision)
 	}
 }
 
 // adoptAssignmentOf also takes slices of jobs that are over: what is left of them
 // on machines still counts against the team's limit.
-func (c *Core) adoptAssignmentOf(shard *Shard, job *Job, value []byte, stamp uint64) {
+func (c *Core) adoptAssignmentOf(shard *Shard, job *Job, value []byte, revision uint64) {
 	id := job.id
 	if assignment := shard.assignments[id]; assignment != nil {
-		if stamp > assignment.revision {
-			c.reconcile(shard, assignment, value, stamp)
+		if revision > assignment.revision {
+			c.reconcile(shard, assignment, value, revision)
 		}
 		return
 	}
 	assignment := &Assignment{job: job, tasks: map[int]*Task{}, unrecordedExits: map[int]taskExit{}, missingSince: job.knownSince}
 	shard.assignments[id] = assignment
-	c.reconcile(shard, assignment, value, stamp)
+	c.reconcile(shard, assignment, value, revision)
 	if job.state != JobPending {
 		c.windDownAssignment(shard, assignment)
 	}
 }
 
 // applyAssignmentRecord applies a slice's key as read or told.
-func (c *Core) applyAssignmentRecord(shard *Shard, id string, value []byte, stamp uint64) {
+func (c *Core) applyAssignmentRecord(shard *Shard, id string, value []byte, revision uint64) {
 	assignment := shard.assignments[id]
 	switch {
 	case assignment == nil && value != nil:
-		c.adoptAssignment(shard, id, value, stamp)
+		c.adoptAssignment(shard, id, value, revision)
 	case assignment == nil:
 		// Neither here nor there.
 	case value == nil:
@@ -117,29 +117,29 @@
 		}
 		delete(shard.assignments, id)
 		delete(shard.dirty, id)
-	case stamp == assignment.revision:
+	case revision == assignment.revision:
 		for _, i := range sorted(assignment.tasks) {
 			task := assignment.tasks[i]
 			if task != nil && task.phase == taskPlacing {
 				c.rollBackPlacement(shard, task)
 			}
 		}
-	case stamp > assignment.revision:
-		c.reconcile(shard, assignment, value, stamp)
+	case revision > assignment.revision:
+		c.reconcile(shard, assignment, value, revision)
 	}
 	shard.needsPlan = true
 }
 
 // reconcile makes memory agree with the store's slice while it keeps what was
 // proven since and is not yet recorded.
-func (c *Core) reconcile(shard *Shard, assignment *Assignment, value []byte, stamp uint64) {
+func (c *Core) reconcile(shard *Shard, assignment *Assignment, value []byte, revision uint64) {
 	var v assignmentRecord
 	if json.Unmarshal(value, &v) != nil {
-		c.log(2, "slice unreadable", "job", assignment.job.id, "part", shard.name)
+		c.warn("slice unreadable", "job", assignment.job.id, "part", shard.name)
 		return
 	}
 	old := assignment.tasks
-	assignment.revision, assignment.waiting, assignment.done, assignment.lastAttempt = stamp, v.Waiting.clone(), v.Done.clone(), max(assignment.lastAttempt, v.LastAttempt)
+	assignment.revision, assignment.waiting, assignment.done, assignment.lastAttempt = revision, v.Waiting.clone(), v.Done.clone(), max(assignment.lastAttempt, v.LastAttempt)
 	assignment.tasks = map[int]*Task{}
 	if !assignment.job.succeeded {
 		assignment.job.failedTrials = max(assignment.job.failedTrials, v.FailedTrials)
@@ -283,7 +283,7 @@
 			}
 		}
 		for _, job := range txn.doneJobs {
-			c.log(1, "job done", "job", job.id, "part", shard.name, "token", shard.token)
+			c.info("job done", "job", job.id, "part", shard.name, "token", shard.token)
 			c.finishJob(job.id, JobDone)
 		}
 		for _, id := range txn.droppedJobs {
@@ -294,19 +294,19 @@
 		shard.needsPlan = true
 	case OutcomeRefused:
 		c.stats.Conflicts++
-		c.log(0, "transaction refused", "part", shard.name, "token", shard.token, "keys", res.FailedKeys)
+		c.debug("transaction refused", "part", shard.name, "token", shard.token, "keys", res.FailedKeys)
 		c.rollBack(txn)
 		for _, k := range res.FailedKeys {
 			shard.unknownKeys[k] = false
 		}
 		if len(res.FailedKeys) == 0 {
 			shard.txnPending = false
-			shard.retryAt = c.now + 300*time.Millisecond
+			shard.retryAt = c.now + retryStoreCall
 		}
 	case OutcomeNotSent:
 		c.rollBack(txn)
 		shard.txnPending = false
-		shard.retryAt = c.now + 300*time.Millisecond
+		shard.retryAt = c.now + retryStoreCall
 	default:
 		if txn.onRollBack != nil {
 			// Tasks that may not have left must not be missing here: the slice
@@ -387,7 +387,7 @@
 			}
 			if res.Outcome != OutcomeOK {
 				shard.unknownKeys[key] = false
-				shard.retryAt = c.now + 300*time.Millisecond
+				shard.retryAt = c.now + retryStoreCall
 				return
 			}
 			c.applyReread(shard, key, res)
@@ -607,14 +607,14 @@
 	}
 	assignment.completing, assignment.nextCompletionCheckAt = true, c.now+5*time.Second
 	token, id := shard.token, assignment.job.id
-	c.readKey(assignment.job.key(), true, func(jr ReadResult) {
+	c.readKey(assignment.job.key(), true, func(jobResult ReadResult) {
 		assignment.completing = false
-		if jr.Outcome != OutcomeOK || !jr.Found || !shard.owned || shard.token != token || shard.assignments[id] != assignment {
+		if jobResult.Outcome != OutcomeOK || !jobResult.Found || !shard.owned || shard.token != token || shard.assignments[id] != assignment {
 			return
 		}
-		c.applyJobRecord(id, jr.Item.Value, jr.Item.Revision)
+		c.applyJobRecord(id, jobResult.Item.Value, jobResult.Item.Revision)
 		job := assignment.job
-		if job.state != JobPending || job.revision != jr.Item.Revision || !assignment.complete() {
+		if job.state != JobPending || job.revision != jobResult.Item.Revision || !assignment.complete() {
 			return
 		}
 		f := &completion{assignment: assignment, jobRevision: job.revision}
--- a/internal/fake/digest_test.go
+++ b/internal/fake/digest_test.go
@@ -33,7 +33,7 @@
 
 // effectTag names a kind of effect in a digest, whatever its Go type is called. What the
 // core logs and measures does not count and has no tag.
-func effectTag(t *testing.T, effect any) string {
+func effectTag(t *testing.T, effect core.Effect) string {
 	switch e := effect.(type) {
 	case core.LogEvent, core.Observation:
 		return ""
@@ -53,7 +53,7 @@
 }
 
 // operationTag does the same for calls to the outside.
-func operationTag(t *testing.T, operation any) string {
+func operationTag(t *testing.T, operation core.Operation) string {
 	switch operation.(type) {
 	case core.CommitTxn:
 		return "commit"
@@ -142,7 +142,7 @@
 	t.Helper()
 	w := s.build()
 	sum := sha256.New()
-	w.OnEffect = func(node *Node, effect any) {
+	w.OnEffect = func(node *Node, effect core.Effect) {
 		tag := effectTag(t, effect)
 		if tag == "" {
 			return
@@ -217,7 +217,7 @@
 // handoversOn plays a day and counts the deletions of shard keys that controllers ask for.
 func handoversOn(day Script) int {
 	w, handovers := day.build(), 0
-	w.OnEffect = func(_ *Node, effect any) {
+	w.OnEffect = func(_ *Node, effect core.Effect) {
 		call, ok := effect.(core.Call)
 		if !ok {
 			return
--- a/internal/fake/input_test.go
+++ b/internal/fake/input_test.go
@@ -79,7 +79,7 @@
 	for _, name := range sortedKeys(impossible) {
 		s := next(impossible[name])
 		status, why := 0, ""
-		w.Nodes[n%3].ask(func(req uint64) any { return core.JobSubmission{RequestID: req, Spec: s} }, func(v any) {
+		w.Nodes[n%3].ask(func(req uint64) core.Event { return core.JobSubmission{RequestID: req, Spec: s} }, func(v core.Effect) {
 			status, why = v.(core.UserReply).Status, v.(core.UserReply).Text
 		})
 		w.Run(100 * time.Millisecond)
--- a/internal/fake/leader_changes_test.go
+++ b/internal/fake/leader_changes_test.go
@@ -18,14 +18,14 @@
 func launched(w *World) map[core.TaskID]int {
 	n := map[core.TaskID]int{}
 	w.DelayOnWire = func(_ *Worker, what any) time.Duration {
-		var orders []core.Command
+		var commands []core.Command
 		switch m := what.(type) {
 		case core.SendCommands:
-			orders = m.Commands
+			commands = m.Commands
 		case core.HeartbeatReply:
-			orders = m.Commands
+			commands = m.Commands
 		}
-		for _, o := range orders {
+		for _, o := range commands {
 			if o.Verb == core.VerbLaunch {
 				n[o.Task]++
 			}
--- a/internal/fake/lost_machines_test.go
+++ b/internal/fake/lost_machines_test.go
@@ -164,13 +164,13 @@
 				return 0
 			}
 			launch := w.Submit(plain("job-1", 1), 20*time.Second)
-			halted := w.Submit(plain("job-2", 2), 5*time.Minute)
+			stopped := w.Submit(plain("job-2", 2), 5*time.Minute)
 			require.True(t, w.Until(10*time.Second, started(w, "job-2", 2)))
 			w.Run(2 * time.Second)
-			w.Cancel(halted)
-			ends(t, w, halted, 10*time.Second)
+			w.Cancel(stopped)
+			ends(t, w, stopped, 10*time.Second)
 			ends(t, w, launch, 90*time.Second)
-			w.Run(halted.Cancelled + w.Cfg.CancelWithin - w.Now)
+			w.Run(stopped.Cancelled + w.Cfg.CancelWithin - w.Now)
 			assert.Empty(t, w.On("job-2"))
 			assert.Len(t, hit, 2, "a launch and a halt met it")
 		})
--- a/internal/fake/meet_answers_test.go
+++ b/internal/fake/meet_answers_test.go
@@ -19,14 +19,14 @@
 	job := &Job{Spec: spec("job-1", "red", 2, 2), Run: time.Minute, Finished: map[int]bool{}, Saved: map[int]time.Duration{}, Came: w.Now}
 	w.Jobs["job-1"] = job
 	submit := func(then func(status int)) {
-		w.user(accepting, "job-1", func(req uint64) any { return core.JobSubmission{RequestID: req, Spec: job.Spec} }, then)
+		w.user(accepting, "job-1", func(req uint64) core.Event { return core.JobSubmission{RequestID: req, Spec: job.Spec} }, then)
 	}
 	w.cuts[[2]string{"state", accepting.Name}] = &cut{true, w.Now + 1500*time.Millisecond}
 	w.Cut(other.Name, accepting.Name, 1500*time.Millisecond, true) // nor does it hear of the cancellation
 	submit(func(int) {})
 	require.True(t, w.Until(time.Second, func() bool { return w.Store.rows["job/job-1"].revision > 0 }), "it is in the store")
 	job.CancelRequested = true
-	w.user(other, "job-1", func(req uint64) any { return core.JobCancellation{RequestID: req, ID: "job-1"} }, func(int) {})
+	w.user(other, "job-1", func(req uint64) core.Event { return core.JobCancellation{RequestID: req, ID: "job-1"} }, func(int) {})
 	require.True(t, w.Until(time.Second, func() bool { return job.Told == core.JobCancelled }), "the cancellation is confirmed")
 	again := 0
 	submit(func(status int) { again = status })
--- a/internal/fake/meet_cancel_more_test.go
+++ b/internal/fake/meet_cancel_more_test.go
@@ -18,7 +18,7 @@
 	answers := map[int]int{}
 	for at := time.Duration(0); at < d; at += every {
 		w.After(at, func() {
-			w.user(node, id, func(req uint64) any { return core.JobQuery{RequestID: req, ID: id} }, func(status int) { answers[status]++ })
+			w.user(node, id, func(req uint64) core.Event { return core.JobQuery{RequestID: req, ID: id} }, func(status int) { answers[status]++ })
 		})
 	}
 	return answers
@@ -92,7 +92,7 @@
 func TestUsersCancelAndAskWhileTheStateServiceIsSlowThenRefusesTheLeaderThenAll(t *testing.T) {
 	w := day(t, 131)
 	jobs := runsInA(t, w, "red", 9, 2, 2)
-	w.Store.Late = func(string, any) time.Duration {
+	w.Store.Late = func(string, core.Operation) time.Duration {
 		return 200*time.Millisecond + time.Duration(w.Rng.IntN(900))*time.Millisecond
 	}
 	cancelled := func() int {
@@ -243,11 +243,13 @@
 		from := time.Duration(strikes*13%700) * time.Millisecond
 		for i, node := range w.Nodes {
 			at := func(d time.Duration, f func()) { w.After(from+time.Duration(i)*time.Millisecond+d, f) }
-			ask := func(ev func(req uint64) any) func() { return func() { w.user(node, job.Spec.ID, ev, func(int) {}) } }
-			poll := ask(func(req uint64) any { return core.JobQuery{RequestID: req, ID: job.Spec.ID} })
+			ask := func(ev func(req uint64) core.Event) func() {
+				return func() { w.user(node, job.Spec.ID, ev, func(int) {}) }
+			}
+			poll := ask(func(req uint64) core.Event { return core.JobQuery{RequestID: req, ID: job.Spec.ID} })
 			at(0, poll)
 			at(time.Millisecond, func() { w.CancelAt(node, job, poll) })
-			at(2*time.Millisecond, ask(func(req uint64) any { return core.JobSubmission{RequestID: req, Spec: job.Spec} }))
+			at(2*time.Millisecond, ask(func(req uint64) core.Event { return core.JobSubmission{RequestID: req, Spec: job.Spec} }))
 			at(5*time.Millisecond, poll)
 			at(40*time.Millisecond, poll)
 		}
--- a/internal/fake/meet_cancel_test.go
+++ b/internal/fake/meet_cancel_test.go
@@ -250,7 +250,7 @@
 		lost = lost || hit
 		return hit, 0
 	}
-	g.Store.Late = func(node string, op any) time.Duration {
+	g.Store.Late = func(node string, op core.Operation) time.Duration {
 		read, isRead := op.(core.ReadKey)
 		_, isFollow := op.(core.WatchKeys)
 		if node == g.owner.Name && lost && (isFollow || isRead && read.Key == "job/job-3") {
@@ -291,7 +291,7 @@
 func TestAPlacementUnderWayWhenItsJobIsCancelledIsRefused(t *testing.T) {
 	g := newGap(t, 113, "a", "b")
 	held := false
-	g.Store.Late = func(node string, op any) time.Duration {
+	g.Store.Late = func(node string, op core.Operation) time.Duration {
 		c, isCommit := op.(core.CommitTxn)
 		if _, isFollow := op.(core.WatchKeys); isFollow && node == g.owner.Name && held {
 			return 3 * time.Second
@@ -338,7 +338,7 @@
 	g := newGap(t, 114, "a", "b")
 	before := g.Store.rows["part/a"].revision
 	claims := 0
-	g.Store.Late = func(_ string, op any) time.Duration {
+	g.Store.Late = func(_ string, op core.Operation) time.Duration {
 		if c, ok := op.(core.CommitTxn); ok && len(c.Txn.Mutations) > 0 && c.Txn.Mutations[0].Key == "part/a" {
 			claims++
 		}
@@ -382,7 +382,7 @@
 func (g *gap) loadsNothing() *bool {
 	out := new(bool)
 	hit := false
-	g.Store.Late = func(_ string, op any) time.Duration {
+	g.Store.Late = func(_ string, op core.Operation) time.Duration {
 		l, ok := op.(core.ListKeys)
 		if !ok || l.Prefix != "slice/a/" {
 			return 0
@@ -468,14 +468,14 @@
 	}
 	w.Run(5 * time.Second)
 	var repeated, told int
-	var all, withdrawals counted
-	allSent, withdrawalsSent := gob.NewEncoder(&all), gob.NewEncoder(&withdrawals)
+	var all, cancellations counted
+	allSent, cancellationsSent := gob.NewEncoder(&all), gob.NewEncoder(&cancellations)
 	w.OnPeerMessage = func(_, _ string, m core.Message) {
 		if m.Gossip == nil {
 			return
 		}
 		require.NoError(t, allSent.Encode(m))
-		require.NoError(t, withdrawalsSent.Encode(m.Gossip.Cancellations))
+		require.NoError(t, cancellationsSent.Encode(m.Gossip.Cancellations))
 		repeated += len(m.Gossip.Cancellations)
 	}
 	var jobs []*Job
@@ -496,7 +496,7 @@
 		}
 	}
 	t.Logf("%d cancelled; each repeated %.1f times to each other controller; gossip %d bytes/s a controller, %d of it withdrawals",
-		told, float64(repeated)/float64(told*7*6), int(all)/7/(minutes*60), int(withdrawals)/7/(minutes*60))
+		told, float64(repeated)/float64(told*7*6), int(all)/7/(minutes*60), int(cancellations)/7/(minutes*60))
 	assert.Greater(t, told, minutes*60*3/4, "a quarter is cancelled")
 	assert.Less(t, float64(repeated)/float64(told*7*6), 4.0, "repeated until it has been heard")
 }
--- a/internal/fake/meet_users_test.go
+++ b/internal/fake/meet_users_test.go
@@ -15,11 +15,11 @@
 )
 
 // sets says whether a transaction gives a job the standing: nothing for unfinished.
-func sets(txn core.Txn, id, standing string) bool {
+func sets(txn core.Txn, id, state string) bool {
 	for _, s := range txn.Mutations {
 		if s.Key == "job/"+id {
-			return strings.Contains(string(s.Value), `"st":"`) == (standing != "") &&
-				strings.Contains(string(s.Value), standing)
+			return strings.Contains(string(s.Value), `"st":"`) == (state != "") &&
+				strings.Contains(string(s.Value), state)
 		}
 	}
 	return false
@@ -83,8 +83,8 @@
 }
 
 func TestUsersThroughEveryTroubleThatTheWorldKnows(t *testing.T) {
-	for i, trouble := range Faults {
-		t.Run(trouble.Name, func(t *testing.T) {
+	for i, fault := range Faults {
+		t.Run(fault.Name, func(t *testing.T) {
 			t.Parallel()
 			w := day(t, 200+uint64(i))
 			w.PollClosely(time.Minute, 0.2)
@@ -95,7 +95,7 @@
 				w.Run(time.Second)
 				if at.Worker = anyUp(w); i >= 12 && !struck && at.Worker != nil {
 					at.Job, struck = job, true
-					trouble.Inject(w, at, (trouble.Least+trouble.Most)/2)
+					fault.Inject(w, at, (fault.Least+fault.Most)/2)
 				}
 			}
 			require.True(t, struck)
@@ -155,13 +155,13 @@
 }
 
 func TestOthersReadWhatATransactionWroteWhoseAnswerIsLost(t *testing.T) {
-	for i, standing := range []string{"", "withdrawn", "withdrawn", "withdrawn", "done", "done", "done"} {
-		t.Run("job "+standing, func(t *testing.T) {
+	for i, state := range []string{"", "withdrawn", "withdrawn", "withdrawn", "done", "done", "done"} {
+		t.Run("job "+state, func(t *testing.T) {
 			w := day(t, 122)
 			w.Run(time.Duration(i) * 23 * time.Millisecond) // at another point of what recurs
 			lost := 0
 			w.Store.Lose = func(_ string, txn core.Txn) (bool, time.Duration) {
-				if lost > 0 || !sets(txn, "job-1", standing) {
+				if lost > 0 || !sets(txn, "job-1", state) {
 					return false, 0
 				}
 				lost++
@@ -170,7 +170,7 @@
 				return true, 0
 			}
 			job := w.Submit(spec("job-1", "red", 2, 2), 5*time.Second)
-			if standing == "withdrawn" {
+			if state == "withdrawn" {
 				require.True(t, w.Until(time.Minute, started(w, "job-1", 2)))
 				w.Cancel(job)
 			}
@@ -258,7 +258,7 @@
 			Finished: map[int]bool{}, Saved: map[int]time.Duration{}}
 		w.Jobs[job.Spec.ID] = job
 		w.repeat(w.Nodes[1], job, func(int) {
-			w.user(w.Nodes[1], job.Spec.ID, func(req uint64) any { return core.JobCancellation{RequestID: req, ID: job.Spec.ID} }, func(int) {
+			w.user(w.Nodes[1], job.Spec.ID, func(req uint64) core.Event { return core.JobCancellation{RequestID: req, ID: job.Spec.ID} }, func(int) {
 				w.repeat(w.Nodes[0], job, func(int) {})
 			})
 		})
--- a/internal/fake/meet_workers_test.go
+++ b/internal/fake/meet_workers_test.go
@@ -263,7 +263,7 @@
 	placement := func(x core.Txn) bool {
 		return changes(x, "slice/a/job-1") && placesAny(x)
 	}
-	standing := func(of string) func(core.Txn) bool {
+	state := func(of string) func(core.Txn) bool {
 		return func(x core.Txn) bool {
 			return changes(x, "job/job-1") && strings.Contains(string(x.Mutations[0].Value), `"st":"`+of)
 		}
@@ -276,8 +276,8 @@
 		{"a job is accepted", "blue", func(x core.Txn) bool { return changes(x, "job/") && len(x.Mutations) == 2 }},
 		{"a grant grows", "blue", func(x core.Txn) bool { return changes(x, "quota/blue") }},
 		{"a task is placed", "guest", placement}, // without any grant
-		{"a job is done", "blue", standing("done")},
-		{"a job is withdrawn", "blue", standing("withdrawn")},
+		{"a job is done", "blue", state("done")},
+		{"a job is withdrawn", "blue", state("withdrawn")},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			cfg := guests(Settings())
@@ -322,7 +322,7 @@
 	held := func() string { return string(w.Store.rows["quota/blue"].value) }
 	require.Contains(t, held(), `"a":{"c":9`)
 	var asked []string
-	w.RepeatRequest = func(_ string, op any) time.Duration {
+	w.RepeatRequest = func(_ string, op core.Operation) time.Duration {
 		if x, ok := op.(core.CommitTxn); ok && len(x.Txn.Mutations) == 1 && x.Txn.Mutations[0].Key == "quota/blue" {
 			if asked = append(asked, string(x.Txn.Mutations[0].Value)); len(asked) == 1 {
 				return 6500 * time.Millisecond
--- a/internal/fake/moments.go
+++ b/internal/fake/moments.go
@@ -63,7 +63,7 @@
 }
 
 // stepsOf says what a controller's call does, as the store stands, and to which job.
-func (w *World) stepsOf(op any) (steps []Step, job *Job) {
+func (w *World) stepsOf(op core.Operation) (steps []Step, job *Job) {
 	if w.OnMoment == nil {
 		return nil, nil
 	}
@@ -134,8 +134,8 @@
 }
 
 // commandMoments tells of the launches and clears among commands.
-func (w *World) commandMoments(phase Phase, node *Node, worker *Worker, orders []core.Command) {
-	for _, o := range orders {
+func (w *World) commandMoments(phase Phase, node *Node, worker *Worker, commands []core.Command) {
+	for _, o := range commands {
 		switch o.Verb {
 		case core.VerbLaunch:
 			w.moment(Moment{Launch, phase, node, worker, w.Jobs[o.Task.Job]})
--- a/internal/fake/ops_test.go
+++ b/internal/fake/ops_test.go
@@ -227,17 +227,17 @@
 	huge.Class, huge.Priority, huge.EstimateSeconds = "scan", 3, 2
 	job := w.Submit(huge, 2*time.Second)
 	require.True(t, w.Until(10*time.Second, func() bool { return job.Accepted }))
-	parts := 0
+	shards := 0
 	for _, node := range w.Nodes {
 		if e, ok := node.Core.Explain("job-1"); ok {
 			for _, p := range e.Shards {
 				if p.OwnedHere && p.Waiting > 5000 {
-					parts++
+					shards++
 				}
 			}
 		}
 	}
-	assert.Equal(t, 3, parts)
+	assert.Equal(t, 3, shards)
 	own := w.Submit(spec("job-2", "red", 8, 2), 5*time.Second)
 	ends(t, w, own, 60*time.Second)
 	for i := range 40 { // many of them find no room
@@ -290,15 +290,15 @@
 }
 
 func TestAPartChangesHandsBeforeItsWorkersLeasesRunOut(t *testing.T) {
-	for _, trouble := range []string{"stands still", "without power"} {
-		t.Run(trouble, func(t *testing.T) {
+	for _, fault := range []string{"stands still", "without power"} {
+		t.Run(fault, func(t *testing.T) {
 			w := day(t, 69)
 			s := spec("job-1", "red", 10, 2)
 			s.Zone = "a"
 			job := w.Submit(s, 70*time.Second)
 			require.True(t, w.Until(60*time.Second, started(w, "job-1", 10)))
 			w.Run(5 * time.Second)
-			if trouble == "stands still" {
+			if fault == "stands still" {
 				w.Nodes[0].Freeze(40 * time.Second)
 			} else {
 				node := w.Nodes[0]
@@ -330,7 +330,7 @@
 		}
 		for range 30 {
 			id, asked := jobs[w.Rng.IntN(len(jobs))].Spec.ID, w.Now
-			w.user(w.anyNode(), id, func(req uint64) any { return core.JobQuery{RequestID: req, ID: id} }, func(status int) {
+			w.user(w.anyNode(), id, func(req uint64) core.Event { return core.JobQuery{RequestID: req, ID: id} }, func(status int) {
 				switch {
 				case status == 200:
 					ok++
--- a/internal/fake/random.go
+++ b/internal/fake/random.go
@@ -26,12 +26,12 @@
 func RandomDay(seed uint64) Script {
 	d := draw{rand.New(rand.NewPCG(seed, 2))}
 	s := Script{Seed: seed}
-	cards := d.oneIn(4)
-	s.World = d.world(cards)
+	gpus := d.oneIn(4)
+	s.World = d.world(gpus)
 	n := 0
 	for at := 1.0; at < noiseS; at += d.between(1, 10) {
 		n++
-		s.Jobs = append(s.Jobs, d.job(s.World, fmt.Sprintf("job-%d", n), at, cards))
+		s.Jobs = append(s.Jobs, d.job(s.World, fmt.Sprintf("job-%d", n), at, gpus))
 	}
 	controllers := s.World.config().Zones
 	if len(s.World.Controllers) > 0 {
@@ -44,7 +44,7 @@
 }
 
 // world draws a kind of world: what is rare in it comes alone or with others.
-func (d draw) world(cards bool) Setting {
+func (d draw) world(gpus bool) Setting {
 	s := Setting{Noise: noiseS, Lost: 1.0 / 60, LateRental: 1.0 / 15, NeverUp: 1.0 / 12, Boot: [2]float64{1, 25}}
 	cfg := Settings()
 	s.Teams = cfg.Teams
@@ -75,13 +75,13 @@
 	if d.oneIn(6) { // machines are up at once, while the store is slow and loses answers
 		s.Boot, s.Slow, s.Lost = [2]float64{1, 2}, d.between(0.2, 1.2), 0.1
 	}
-	if cards {
+	if gpus {
 		s.Types = append(s.Types, core.MachineType{Name: "carded", Capacity: core.Resources{Cores: 16, GPUs: 4, MemoryGB: 64},
 			CacheGB: 40, FetchGBPerSecond: 0.5, Price: 3, SpotPrice: 1, BootSeconds: 10})
 		s.Teams[0].Limit.GPUs, s.Teams[1].Limit.GPUs = 8, 3
 		s.Teams[0].Guarantee.GPUs = 2
 	}
-	if small := d.oneIn(6); small || cards {
+	if small := d.oneIn(6); small || gpus {
 		for _, name := range []string{"small", "large"} {
 			t := core.MachineType{Name: name, Capacity: core.Resources{Cores: 4, MemoryGB: 16}, CacheGB: 40, FetchGBPerSecond: 0.5, Price: 0.4, SpotPrice: 0.15, BootSeconds: 8}
 			if name == "large" {
@@ -97,7 +97,7 @@
 }
 
 // job draws a job for a world.
-func (d draw) job(w Setting, id string, at float64, cards bool) Request {
+func (d draw) job(w Setting, id string, at float64, gpus bool) Request {
 	team := w.Teams[d.IntN(2)]
 	s := core.JobSpec{Class: "work", Team: team.Name, Priority: d.IntN(4), Tasks: 1 + d.IntN(6), Spot: !d.oneIn(3),
 		Need: core.Resources{Cores: float64(1 + d.IntN(4)), MemoryGB: 1}, Image: []string{"x", "y", "z"}[d.IntN(3)], ImageGB: 0.5,
@@ -121,7 +121,7 @@
 		s.Service, s.EstimateSeconds, s.Tasks, s.Need.Cores = true, 0, 1+d.IntN(3), 1
 		s.SpreadZones = d.oneIn(3)
 	}
-	if cards && d.oneIn(3) {
+	if gpus && d.oneIn(3) {
 		s.Need.GPUs, s.Class, s.Types = 1, "cards", nil
 		s.Tasks = min(s.Tasks, 6)
 		s.ImageGB = 1.5
--- a/internal/fake/referee.go
+++ b/internal/fake/referee.go
@@ -284,16 +284,16 @@
 }
 
 // user asks a node and tells the referee what came back.
-func (w *World) user(node *Node, id string, request func(req uint64) any, then func(status int)) {
+func (w *World) user(node *Node, id string, request func(req uint64) core.Event, then func(status int)) {
 	before := w.Referee.known(id)
-	w.rpc("users", node.Name, 5*time.Second, core.UserReply{}, func(answer func(any)) {
+	rpc[core.Effect](w, "users", node.Name, 5*time.Second, core.UserReply{}, func(answer func(core.Effect)) {
 		if !node.up {
 			answer(core.UserReply{})
 			return
 		}
 		node.ask(request, answer)
-	}, func(v any) {
-		rep, _ := v.(core.UserReply)
+	}, func(reply core.Effect) {
+		rep, _ := reply.(core.UserReply)
 		w.Referee.told(id, rep.Status, rep.Job.State, before)
 		if job := w.Jobs[id]; job != nil {
 			if job.Told == core.JobCancelled && before.told != core.JobCancelled {
@@ -319,7 +319,7 @@
 	w.Jobs[spec.ID] = job
 	var try func()
 	try = func() {
-		w.user(w.anyNode(), spec.ID, func(req uint64) any { return core.JobSubmission{RequestID: req, Spec: spec} }, func(status int) {
+		w.user(w.anyNode(), spec.ID, func(req uint64) core.Event { return core.JobSubmission{RequestID: req, Spec: spec} }, func(status int) {
 			switch status {
 			case 200, 201:
 				w.poll(job)
@@ -343,7 +343,7 @@
 }
 
 func (w *World) poll(job *Job) {
-	w.user(w.anyNode(), job.Spec.ID, func(req uint64) any { return core.JobQuery{RequestID: req, ID: job.Spec.ID} }, func(int) {
+	w.user(w.anyNode(), job.Spec.ID, func(req uint64) core.Event { return core.JobQuery{RequestID: req, ID: job.Spec.ID} }, func(int) {
 		if job.Told != core.JobDone && job.Told != core.JobCancelled {
 			w.After(2*time.Second, func() { w.poll(job) })
 		}
@@ -353,7 +353,7 @@
 // Cancel has the job's user cancel it, repeated until it is answered.
 func (w *World) Cancel(job *Job) {
 	job.CancelRequested = true
-	w.user(w.anyNode(), job.Spec.ID, func(req uint64) any { return core.JobCancellation{RequestID: req, ID: job.Spec.ID} }, func(status int) {
+	w.user(w.anyNode(), job.Spec.ID, func(req uint64) core.Event { return core.JobCancellation{RequestID: req, ID: job.Spec.ID} }, func(status int) {
 		if status != 200 && status != 404 {
 			w.After(time.Second, func() { w.Cancel(job) })
 		}
--- a/internal/fake/script.go
+++ b/internal/fake/script.go
@@ -141,7 +141,7 @@
 		}
 		return []time.Duration{time.Second + upTo(40*time.Second)}
 	}
-	w.RepeatRequest = func(string, any) time.Duration {
+	w.RepeatRequest = func(string, core.Operation) time.Duration {
 		if !happens(set.Repeated) {
 			return 0
 		}
--- a/internal/fake/services.go
+++ b/internal/fake/services.go
@@ -27,7 +27,7 @@
 	Slow time.Duration
 	// Late, if set, says how long a request is on its way, however long its sender
 	// waits.
-	Late func(node string, op any) time.Duration
+	Late func(node string, op core.Operation) time.Duration
 	// Keep, if set, is how many changes it keeps for those who follow.
 	Keep int
 	lost uint64 // the newest change that it keeps no more
@@ -59,7 +59,7 @@
 	node   string
 	op     core.WatchKeys
 	ends   time.Duration
-	answer func(any)
+	answer func(core.Result)
 }
 
 func newStore(w *World) *Store {
@@ -149,23 +149,23 @@
 			x.answer(core.WatchResult{Outcome: core.OutcomeRefused})
 			continue
 		}
-		var news []core.Item
+		var changes []core.Item
 		from := sort.Search(len(s.history), func(i int) bool { return s.history[i].Revision > x.op.AfterRevision })
 		for _, h := range s.history[from:] {
 			if strings.HasPrefix(h.Key, x.op.Prefix) {
-				news = append(news, h)
+				changes = append(changes, h)
 			}
 		}
-		if len(news) == 0 && s.w.Now < x.ends {
+		if len(changes) == 0 && s.w.Now < x.ends {
 			left = append(left, x)
 			continue
 		}
-		x.answer(core.WatchResult{Outcome: core.OutcomeOK, Revision: s.revision, Changes: news})
+		x.answer(core.WatchResult{Outcome: core.OutcomeOK, Revision: s.revision, Changes: changes})
 	}
 	s.watches = left
 }
 
-func (s *Store) commit(node string, t core.Txn, answer func(any)) {
+func (s *Store) commit(node string, t core.Txn, answer func(core.Result)) {
 	if s.away(node) {
 		answer(core.CommitResult{Outcome: core.OutcomeNotSent})
 		return
@@ -232,7 +232,7 @@
 	return core.CommitResult{Outcome: core.OutcomeOK, Revision: s.revision}
 }
 
-func (s *Store) read(node, key string, answer func(any)) {
+func (s *Store) read(node, key string, answer func(core.Result)) {
 	if s.SlowRead != nil {
 		if d := s.SlowRead(node, key); d > 0 {
 			s.w.After(d, func() { s.readNow(node, key, answer) })
@@ -242,7 +242,7 @@
 	s.readNow(node, key, answer)
 }
 
-func (s *Store) readNow(node, key string, answer func(any)) {
+func (s *Store) readNow(node, key string, answer func(core.Result)) {
 	if s.away(node) {
 		answer(core.ReadResult{Outcome: core.OutcomeNotSent})
 		return
@@ -252,7 +252,7 @@
 	answer(core.ReadResult{Outcome: core.OutcomeOK, Found: ok, Item: core.Item{Key: key, Value: r.value, Revision: r.revision}})
 }
 
-func (s *Store) list(node, prefix string, answer func(any)) {
+func (s *Store) list(node, prefix string, answer func(core.Result)) {
 	if s.away(node) {
 		answer(core.ListResult{Outcome: core.OutcomeNotSent})
 		return
@@ -268,7 +268,7 @@
 	answer(res)
 }
 
-func (s *Store) watch(node string, op core.WatchKeys, answer func(any)) {
+func (s *Store) watch(node string, op core.WatchKeys, answer func(core.Result)) {
 	if s.away(node) {
 		answer(core.WatchResult{Outcome: core.OutcomeNotSent})
 		return
@@ -276,7 +276,7 @@
 	s.watches = append(s.watches, &openWatch{node, op, s.w.Now + op.Timeout, answer})
 }
 
-func (s *Store) grantLease(node string, life time.Duration, answer func(any)) {
+func (s *Store) grantLease(node string, life time.Duration, answer func(core.Result)) {
 	if s.away(node) {
 		answer(core.LeaseResult{Outcome: core.OutcomeNotSent})
 		return
@@ -286,7 +286,7 @@
 	answer(core.LeaseResult{Outcome: core.OutcomeOK, Lease: s.nextID})
 }
 
-func (s *Store) renewLease(node string, id uint64, answer func(any)) {
+func (s *Store) renewLease(node string, id uint64, answer func(core.Result)) {
 	if s.away(node) {
 		answer(core.RenewResult{Outcome: core.OutcomeNotSent})
 		return
@@ -339,7 +339,7 @@
 
 func (c *Cloud) away() bool { return c.w.Now < c.down }
 
-func (c *Cloud) catalog(answer func(any)) {
+func (c *Cloud) catalog(answer func(core.Result)) {
 	if c.away() {
 		answer(core.CatalogResult{Outcome: core.OutcomeNotSent})
 		return
@@ -347,7 +347,7 @@
 	answer(core.CatalogResult{Outcome: core.OutcomeOK, Types: c.Types})
 }
 
-func (c *Cloud) handleRent(op core.RentHosts, answer func(any)) {
+func (c *Cloud) handleRent(op core.RentHosts, answer func(core.Result)) {
 	if c.away() {
 		answer(core.RentResult{Outcome: core.OutcomeNotSent})
 		return
@@ -399,7 +399,7 @@
 	return name
 }
 
-func (c *Cloud) handleReturn(names []string, answer func(any)) {
+func (c *Cloud) handleReturn(names []string, answer func(core.Result)) {
 	if c.away() {
 		answer(core.ReturnResult{Outcome: core.OutcomeNotSent})
 		return
@@ -423,7 +423,7 @@
 	c.Room[roomKey(worker.typ, worker.zone, worker.spot)]++
 }
 
-func (c *Cloud) list(answer func(any)) {
+func (c *Cloud) list(answer func(core.Result)) {
 	if c.away() {
 		answer(core.HostsResult{Outcome: core.OutcomeNotSent})
 		return
--- a/internal/fake/standstill_test.go
+++ b/internal/fake/standstill_test.go
@@ -72,7 +72,7 @@
 		jobs = append(jobs, w.Submit(s, run))
 		return jobs[len(jobs)-1]
 	}
-	withdrawn := submit(1, 10*time.Minute)
+	cancelled := submit(1, 10*time.Minute)
 	submit(2, 20*time.Second)
 	require.True(t, w.Until(40*time.Second, started(w, "job-1", 4)))
 	for _, node := range w.Nodes {
@@ -90,7 +90,7 @@
 			w.Store.apply(core.Txn{Mutations: []core.Mutation{{Key: fmt.Sprintf("other/%d", i), Value: []byte("1")}}})
 		}
 	})
-	withdrawn.Cancelled, withdrawn.CancelRequested = w.Now+time.Second, true
+	cancelled.Cancelled, cancelled.CancelRequested = w.Now+time.Second, true
 	w.Run(6 * time.Second)
 	gone := func() bool { return len(w.On("job-1")) == 0 }
 	assert.True(t, w.Until(10*time.Second, gone), "what is withdrawn is stopped")
--- a/internal/fake/story_test.go
+++ b/internal/fake/story_test.go
@@ -287,12 +287,12 @@
 	for _, node := range w.Nodes {
 		for id, want := range map[string]core.JobState{"job-1": core.JobDone, "job-2": core.JobCancelled} {
 			got := core.JobPending
-			node.ask(func(req uint64) any { return core.JobQuery{RequestID: req, ID: id} }, func(v any) { got = v.(core.UserReply).Job.State })
+			node.ask(func(req uint64) core.Event { return core.JobQuery{RequestID: req, ID: id} }, func(v core.Effect) { got = v.(core.UserReply).Job.State })
 			w.Run(time.Second)
 			assert.Equal(t, want, got, "%s at %s", id, node.Name)
 		}
 		status := 0
-		node.ask(func(req uint64) any { return core.JobQuery{RequestID: req, ID: "job-9"} }, func(v any) { status = v.(core.UserReply).Status })
+		node.ask(func(req uint64) core.Event { return core.JobQuery{RequestID: req, ID: "job-9"} }, func(v core.Effect) { status = v.(core.UserReply).Status })
 		w.Run(time.Second)
 		assert.Equal(t, 404, status)
 	}
--- a/internal/fake/timing_test.go
+++ b/internal/fake/timing_test.go
@@ -158,10 +158,10 @@
 		{8 * time.Second, -time.Second}, {5 * time.Second, -time.Second}, {3 * time.Second, -time.Second},
 	} {
 		t.Run(fmt.Sprint(c.report, c.spare), func(t *testing.T) {
-			knobs := Settings().Tuning
+			tuning := Settings().Tuning
 			lease := 20 * time.Second
 			for range 10 { // the controllers' lease is a share of the workers'
-				lease = knobs.FailoverTime(c.report, lease, false) + c.spare
+				lease = tuning.FailoverTime(c.report, lease, false) + c.spare
 			}
 			w := timed(t, 8405, c.report, lease, lease+30*time.Second)
 			s := spec("job-1", "red", 10, 2)
--- a/internal/fake/trouble_test.go
+++ b/internal/fake/trouble_test.go
@@ -45,13 +45,13 @@
 	w := oneController(t, 31, nil)
 	job := w.Submit(spec("job-1", "red", 6, 4), 30*time.Second)
 	require.True(t, w.Until(60*time.Second, started(w, "job-1", 6)))
-	deaf := anyOn(w, "job-1")
-	w.CutInbound(deaf, 10*time.Minute)
+	unreachable := anyOn(w, "job-1")
+	w.CutInbound(unreachable, 10*time.Minute)
 	from := w.Now
-	starts := func() int { return len(deaf.tasks) }
+	starts := func() int { return len(unreachable.tasks) }
 	before := starts()
 	more := w.Submit(spec("job-2", "red", 4, 2), 5*time.Second)
-	require.True(t, w.Until(w.Cfg.WorkerLease+30*time.Second, func() bool { return deaf.deleted }), "it is returned")
+	require.True(t, w.Until(w.Cfg.WorkerLease+30*time.Second, func() bool { return unreachable.deleted }), "it is returned")
 	// Its tasks had to be proven gone first: by the end of its lease, seen in a
 	// later session, or by the cloud's word. The referee saw no task twice.
 	assert.LessOrEqual(t, starts(), before, "it gets no new work")
@@ -62,21 +62,21 @@
 
 func TestAMachineDeafFromTheStartGetsNoWork(t *testing.T) {
 	w := oneController(t, 32, nil)
-	var deaf *Worker
+	var unreachable *Worker
 	w.Cloud.BootS = func(name string) float64 {
 		w.After(time.Millisecond, func() {
-			if deaf == nil {
-				deaf = w.Workers[name]
-				w.CutInbound(deaf, 10*time.Minute)
+			if unreachable == nil {
+				unreachable = w.Workers[name]
+				w.CutInbound(unreachable, 10*time.Minute)
 			}
 		})
 		return 5
 	}
 	job := w.Submit(spec("job-1", "red", 4, 2), 10*time.Second)
 	ends(t, w, job, 2*time.Minute)
-	require.NotNil(t, deaf)
-	assert.True(t, w.Until(time.Minute, func() bool { return deaf.deleted }), "it is returned")
-	for id := range deaf.tasks {
+	require.NotNil(t, unreachable)
+	assert.True(t, w.Until(time.Minute, func() bool { return unreachable.deleted }), "it is returned")
+	for id := range unreachable.tasks {
 		t.Errorf("%v was sent to it", id)
 	}
 }
@@ -231,7 +231,7 @@
 				}
 				return false
 			}
-			w.RepeatRequest = func(node string, op any) time.Duration {
+			w.RepeatRequest = func(node string, op core.Operation) time.Duration {
 				c, ok := op.(core.CommitTxn)
 				if !ok || !is(c.Txn) || hit > 2 {
 					return 3 * time.Second
--- a/internal/fake/users_troubles.go
+++ b/internal/fake/users_troubles.go
@@ -74,17 +74,17 @@
 
 // ask asks a node about a job.
 func (w *World) ask(n *Node, id string, then func(status int)) {
-	w.user(n, id, func(req uint64) any { return core.JobQuery{RequestID: req, ID: id} }, then)
+	w.user(n, id, func(req uint64) core.Event { return core.JobQuery{RequestID: req, ID: id} }, then)
 }
 
 // repeat sends a job's submission to a node once more.
 func (w *World) repeat(n *Node, job *Job, then func(status int)) {
-	w.user(n, job.Spec.ID, func(req uint64) any { return core.JobSubmission{RequestID: req, Spec: job.Spec} }, then)
+	w.user(n, job.Spec.ID, func(req uint64) core.Event { return core.JobSubmission{RequestID: req, Spec: job.Spec} }, then)
 }
 
 // send has a user send a body to a node as a job's submission.
 func (w *World) send(node *Node, id string, body []byte, then func(status int)) {
-	w.user(node, id, func(req uint64) any {
+	w.user(node, id, func(req uint64) core.Event {
 		spec, err := wire.DecodeSubmission(body)
 		ev := core.JobSubmission{RequestID: req, Spec: spec}
 		if err != nil {
@@ -192,7 +192,7 @@
 		w.send(node, j.Spec.ID, without(j.Spec, field), counts(&w.Users.Repeats, 200))
 	case kind == 2 && len(done) > 0:
 		id := done[w.Rng.IntN(len(done))].Spec.ID
-		w.user(node, id, func(req uint64) any { return core.JobCancellation{RequestID: req, ID: id} }, counts(&w.Users.Stopped, 200))
+		w.user(node, id, func(req uint64) core.Event { return core.JobCancellation{RequestID: req, ID: id} }, counts(&w.Users.Stopped, 200))
 	case kind == 3:
 		w.ask(node, fmt.Sprintf("job-%d", 900000+w.Rng.IntN(1000)), counts(&w.Users.Nobodys, 404))
 	default:
--- a/internal/fake/waiting.go
+++ b/internal/fake/waiting.go
@@ -42,14 +42,14 @@
 
 // limited says whether a team has any limit.
 func (w *World) limited(team string) bool {
-	lim := w.limit(team)
-	return lim.Cores > 0 || lim.GPUs > 0
+	limit := w.limit(team)
+	return limit.Cores > 0 || limit.GPUs > 0
 }
 
 // allows says whether a team may use so much.
 func (w *World) allows(team string, used core.Resources) bool {
-	lim := w.limit(team)
-	return (lim.Cores == 0 || used.Cores <= lim.Cores+1e-6) && (lim.GPUs == 0 || used.GPUs <= lim.GPUs+1e-6)
+	limit := w.limit(team)
+	return (limit.Cores == 0 || used.Cores <= limit.Cores+1e-6) && (limit.GPUs == 0 || used.GPUs <= limit.GPUs+1e-6)
 }
 
 // cancelled judges a start after its job's user was told that it is cancelled.
--- a/internal/fake/waiting_test.go
+++ b/internal/fake/waiting_test.go
@@ -139,7 +139,7 @@
 	w.Run(1900 * time.Millisecond)
 	assert.Equal(t, core.TaskFetching, one.state, "it has half the rate")
 	w.Run(200 * time.Millisecond)
-	assert.Equal(t, []int{core.TaskRunning, core.TaskRunning, core.TaskFetching}, []int{one.state, same.state, two.state}, "one fetch serves both")
+	assert.Equal(t, []core.TaskState{core.TaskRunning, core.TaskRunning, core.TaskFetching}, []core.TaskState{one.state, same.state, two.state}, "one fetch serves both")
 	w.Run(time.Second)
 	assert.Equal(t, core.TaskRunning, two.state, "alone it has all of it")
 	worker.end(two, core.ExitStopped)
--- a/internal/fake/walk_test.go
+++ b/internal/fake/walk_test.go
@@ -10,12 +10,12 @@
 // TestAWalkOverPairsKeepsTheRules plays a fixed part of the walk: every 53rd pair. All of
 // it: go run ./cmd/search walk.
 func TestAWalkOverPairsKeepsTheRules(t *testing.T) {
-	i, troubles, steps := 0, map[string]bool{}, map[Step]bool{}
+	i, faults, steps := 0, map[string]bool{}, map[Step]bool{}
 	for p := range Walk(1) {
 		if i++; i%53 != 0 {
 			continue
 		}
-		troubles[p.Fault], steps[p.Step] = true, true
+		faults[p.Fault], steps[p.Step] = true, true
 		t.Run(p.String(), func(t *testing.T) {
 			t.Parallel()
 			v := p.Script().Play(nil)
@@ -25,7 +25,7 @@
 	}
 	assert.Equal(t, WalkSize(1), i)
 	assert.Len(t, steps, len(Steps))
-	assert.Len(t, troubles, len(Faults))
+	assert.Len(t, faults, len(Faults))
 }
 
 func TestTheSmallDayBringsAboutEveryStep(t *testing.T) {
--- a/internal/fake/worker.go
+++ b/internal/fake/worker.go
@@ -38,8 +38,8 @@
 type running struct {
 	id      core.TaskID
 	attempt uint64
-	state   int
-	cause   int
+	state   core.TaskState
+	cause   core.ExitCause
 	started time.Duration
 	from    time.Duration // progress saved before it started
 	epoch   int
@@ -145,36 +145,36 @@
 		return
 	}
 	k.heartbeatPending, k.dirty, k.lastSent = true, false, k.w.Now
-	status, sent, session, node := k.status(), k.w.Now, k.incarnation, k.w.Nodes[k.node]
+	status, sent, incarnation, node := k.status(), k.w.Now, k.incarnation, k.w.Nodes[k.node]
 	k.heartbeatMoment(Before, status)
 	k.w.copyHeartbeat(k, status)
 	if k.w.Copies != nil {
 		for _, late := range k.w.Copies(k) {
 			k.w.After(late, func() {
 				if node.up {
-					node.ask(func(req uint64) any { return core.Heartbeat{RequestID: req, Status: status} }, func(any) {})
+					node.ask(func(req uint64) core.Event { return core.Heartbeat{RequestID: req, Status: status} }, func(core.Effect) {})
 				}
 			})
 		}
 	}
-	k.w.rpc(k.name, node.Name, 4*time.Second, nil, func(answer func(any)) {
+	rpc[core.Effect](k.w, k.name, node.Name, 4*time.Second, nil, func(answer func(core.Effect)) {
 		if !node.up {
 			answer(core.HeartbeatReply{Status: 0})
 			return
 		}
 		k.w.delayOnWire(k, status, func() {
-			node.ask(func(req uint64) any { return core.Heartbeat{RequestID: req, Status: status} },
-				func(res any) { k.w.delayOnWire(k, res, func() { answer(res) }) })
+			node.ask(func(req uint64) core.Event { return core.Heartbeat{RequestID: req, Status: status} },
+				func(reply core.Effect) { k.w.delayOnWire(k, reply, func() { answer(reply) }) })
 			k.heartbeatMoment(During, status)
 		})
-	}, func(res any) {
+	}, func(reply core.Effect) {
 		k.w.reach(k.name, func(worker *Worker) {
 			worker.heartbeatPending = false
-			r, ok := res.(core.HeartbeatReply)
+			r, ok := reply.(core.HeartbeatReply)
 			switch {
 			case !ok:
 				worker.turn()
-			case r.Status == 200 && (worker.w.Now > sent+4*time.Second || session != worker.incarnation || r.Token < worker.token):
+			case r.Status == 200 && (worker.w.Now > sent+4*time.Second || incarnation != worker.incarnation || r.Token < worker.token):
 				// Too late, of an earlier session or not entitled: dropped.
 			case r.Status == 200:
 				worker.seen(r.Token)
@@ -207,7 +207,7 @@
 	}
 }
 
-func (k *Worker) handleCommands(op core.SendCommands, answer func(any)) {
+func (k *Worker) handleCommands(op core.SendCommands, answer func(core.Result)) {
 	if op.Token < k.token || op.Incarnation != k.incarnation {
 		r := k.status()
 		answer(core.WorkerResult{Outcome: core.OutcomeRefused, Status: &r})
@@ -219,8 +219,8 @@
 	answer(core.WorkerResult{Outcome: core.OutcomeOK, Status: &r})
 }
 
-func (k *Worker) execute(orders []core.Command) {
-	for _, o := range orders {
+func (k *Worker) execute(commands []core.Command) {
+	for _, o := range commands {
 		t := k.tasks[o.Task]
 		same := t != nil && t.attempt == o.Attempt
 		switch {
@@ -250,9 +250,9 @@
 }
 
 // stop stops a task. One that saves does so when it has the time.
-func (k *Worker) stop(t *running, leeway float64) {
+func (k *Worker) stop(t *running, gracePeriod float64) {
 	job := k.w.Jobs[t.id.Job]
-	if job != nil && job.Spec.CheckpointSeconds > 0 && t.state == core.TaskRunning && leeway >= job.Spec.SaveSeconds {
+	if job != nil && job.Spec.CheckpointSeconds > 0 && t.state == core.TaskRunning && gracePeriod >= job.Spec.SaveSeconds {
 		t.state, k.dirty = core.TaskSaving, true
 		t.epoch++
 		saved := t.from + k.ran(t)
@@ -262,7 +262,7 @@
 		})
 		return
 	}
-	if t.state == core.TaskSaving && leeway > 0 {
+	if t.state == core.TaskSaving && gracePeriod > 0 {
 		return
 	}
 	k.end(t, core.ExitStopped)
@@ -343,7 +343,7 @@
 	})
 }
 
-func (k *Worker) end(t *running, cause int) {
+func (k *Worker) end(t *running, cause core.ExitCause) {
 	k.w.Log("%v %s ends %v attempt %d cause %d", k.w.Now, k.name, t.id, t.attempt, cause)
 	if t.state == core.TaskRunning || t.state == core.TaskSaving {
 		k.checkpoint(t)
--- a/internal/fake/worker_troubles.go
+++ b/internal/fake/worker_troubles.go
@@ -38,7 +38,7 @@
 // sent stands for one that the network held back or whose original it lost.
 func (n *Node) receiveHeartbeat(status core.WorkerStatus) {
 	if n.up {
-		n.ask(func(req uint64) any { return core.Heartbeat{RequestID: req, Status: status} }, func(any) {})
+		n.ask(func(req uint64) core.Event { return core.Heartbeat{RequestID: req, Status: status} }, func(core.Effect) {})
 	}
 }
 
--- a/internal/fake/world.go
+++ b/internal/fake/world.go
@@ -26,12 +26,12 @@
 	Log     func(format string, args ...any)
 
 	// OnEffect, if set, sees whatever a controller's core asks for, before it is done.
-	OnEffect func(n *Node, effect any)
+	OnEffect func(n *Node, effect core.Effect)
 	// Copies, if set, says after which times copies of a report arrive once more.
 	Copies func(k *Worker) []time.Duration
 	// RepeatRequest, if set, says after how long a request is carried out a second time,
 	// 0 for not at all. Orders come again only from a process that has ended.
-	RepeatRequest func(node string, op any) time.Duration
+	RepeatRequest func(node string, op core.Operation) time.Duration
 	// DelayOnWire, if set, says how much longer than others a worker's packet is under way:
 	// an order (core.OrdersOp) or its answer (core.WorkerResult), a report
 	// (core.Report) or its answer (core.BeatReply). Negative: it is lost.
@@ -212,10 +212,10 @@
 
 // rpc calls a host: exec runs there and answers through its argument. When no
 // answer came in time, done gets unknown; what is under way stays under way.
-func (w *World) rpc(from, to string, timeout time.Duration, unknown any, exec func(answer func(any)), done func(any)) {
+func rpc[R any](w *World, from, to string, timeout time.Duration, unknown R, exec func(answer func(R)), done func(R)) {
 	over := false
 	w.packet(from, to, func() {
-		exec(func(res any) {
+		exec(func(res R) {
 			w.packet(to, from, func() {
 				if !over {
 					over = true
@@ -243,7 +243,7 @@
 	// It stands still until then: its clock runs on, and what comes waits for it.
 	frozenUntil time.Duration
 	reqs        uint64
-	wait        map[uint64]func(any)
+	wait        map[uint64]func(core.Effect)
 
 	share    core.BudgetShare
 	nextCall time.Duration
@@ -263,7 +263,7 @@
 			cfg.Peers = append(cfg.Peers, core.PeerConfig{Label: other.Name, Zone: other.zone})
 		}
 	}
-	n.Core, n.wait = core.New(cfg), map[uint64]func(any){}
+	n.Core, n.wait = core.New(cfg), map[uint64]func(core.Effect){}
 	life := n.life
 	var tick func()
 	tick = func() {
@@ -316,23 +316,23 @@
 	}
 }
 
-func (n *Node) handle(ev any) { n.whenRunning(func() { n.process(ev) }) }
+func (n *Node) handle(ev core.Event) { n.whenRunning(func() { n.process(ev) }) }
 
-func (n *Node) process(ev any) {
+func (n *Node) process(ev core.Event) {
 	n.execute(n.Core.Handle(n.w.Now, ev))
 	n.advance()
 }
 
 // ask puts a request to the node; answer is not called if it dies first.
-func (n *Node) ask(request func(req uint64) any, answer func(any)) {
+func (n *Node) ask(request func(req uint64) core.Event, answer func(core.Effect)) {
 	n.reqs++
 	n.wait[n.reqs] = answer
 	n.handle(request(n.reqs))
 }
 
-func (n *Node) execute(effects []any) {
+func (n *Node) execute(effects []core.Effect) {
 	life := n.life
-	for _, e := range append([]any(nil), effects...) {
+	for _, e := range append([]core.Effect(nil), effects...) {
 		if !n.up || n.life != life {
 			return // it ended while it was sending
 		}
@@ -358,10 +358,10 @@
 	}
 }
 
-func (n *Node) answer(req uint64, v any) {
+func (n *Node) answer(req uint64, reply core.Effect) {
 	if f := n.wait[req]; f != nil {
 		delete(n.wait, req)
-		f(v)
+		f(reply)
 	}
 }
 
@@ -410,7 +410,7 @@
 			w.moment(Moment{s, phase, n, nil, job})
 		}
 	}
-	done := func(res any) {
+	done := func(res core.Result) {
 		if n.up && n.life == life {
 			n.handle(core.CallResult{CallID: c.ID, Result: res})
 			tell(After)
@@ -420,9 +420,9 @@
 		return
 	}
 	// carriedOut wraps an answer to a call that is carried out.
-	carriedOut := func(a func(any)) func(any) {
-		return func(res any) {
-			if outcomeOf(res) == core.OutcomeOK {
+	carriedOut := func(a func(core.Result)) func(core.Result) {
+		return func(res core.Result) {
+			if res.CallOutcome() == core.OutcomeOK {
 				tell(During)
 			}
 			a(res)
@@ -434,33 +434,33 @@
 			w.After(late, func() { n.repeat(c.Operation, life) })
 		}
 	}
-	store := func(timeout time.Duration, unknown any, exec func(func(any))) {
+	store := func(timeout time.Duration, unknown core.Result, exec func(func(core.Result))) {
 		exec = w.Store.delayed(n.Name, c.Operation, exec)
-		n.admit(func() { n.whenRunning(func() { w.rpc(n.Name, "state", timeout, unknown, exec, done) }) }, func() { done(notSent(unknown)) })
+		n.admit(func() { n.whenRunning(func() { rpc[core.Result](w, n.Name, "state", timeout, unknown, exec, done) }) }, func() { done(notSent(unknown)) })
 	}
 	switch op := c.Operation.(type) {
 	case core.CommitTxn:
-		store(wait, core.CommitResult{}, func(a func(any)) {
+		store(wait, core.CommitResult{}, func(a func(core.Result)) {
 			w.After(w.Store.Slow, func() { w.Store.commit(n.Name, op.Txn, carriedOut(a)) })
 		})
 	case core.ReadKey:
-		store(wait, core.ReadResult{}, func(a func(any)) { w.Store.read(n.Name, op.Key, a) })
+		store(wait, core.ReadResult{}, func(a func(core.Result)) { w.Store.read(n.Name, op.Key, a) })
 	case core.ListKeys:
-		store(wait, core.ListResult{}, func(a func(any)) { w.Store.list(n.Name, op.Prefix, a) })
+		store(wait, core.ListResult{}, func(a func(core.Result)) { w.Store.list(n.Name, op.Prefix, a) })
 	case core.WatchKeys:
-		store(op.Timeout+wait, core.WatchResult{}, func(a func(any)) { w.Store.watch(n.Name, op, a) })
+		store(op.Timeout+wait, core.WatchResult{}, func(a func(core.Result)) { w.Store.watch(n.Name, op, a) })
 	case core.GrantLease:
-		store(wait, core.LeaseResult{}, func(a func(any)) { w.Store.grantLease(n.Name, op.TTL, a) })
+		store(wait, core.LeaseResult{}, func(a func(core.Result)) { w.Store.grantLease(n.Name, op.TTL, a) })
 	case core.RenewLease:
-		store(wait, core.RenewResult{}, func(a func(any)) { w.Store.renewLease(n.Name, op.Lease, a) })
+		store(wait, core.RenewResult{}, func(a func(core.Result)) { w.Store.renewLease(n.Name, op.Lease, a) })
 	case core.ReadCatalog:
-		w.rpc(n.Name, "cloud", 4*time.Second, core.CatalogResult{}, w.Cloud.catalog, done)
+		rpc[core.Result](w, n.Name, "cloud", 4*time.Second, core.CatalogResult{}, w.Cloud.catalog, done)
 	case core.ListHosts:
-		w.rpc(n.Name, "cloud", 4*time.Second, core.HostsResult{}, w.Cloud.list, done)
+		rpc[core.Result](w, n.Name, "cloud", 4*time.Second, core.HostsResult{}, w.Cloud.list, done)
 	case core.RentHosts:
-		w.rpc(n.Name, "cloud", 4*time.Second, core.RentResult{}, func(a func(any)) { w.Cloud.handleRent(op, carriedOut(a)) }, done)
+		rpc[core.Result](w, n.Name, "cloud", 4*time.Second, core.RentResult{}, func(a func(core.Result)) { w.Cloud.handleRent(op, carriedOut(a)) }, done)
 	case core.ReturnHosts:
-		w.rpc(n.Name, "cloud", 4*time.Second, core.ReturnResult{}, func(a func(any)) { w.Cloud.handleReturn(op.Hosts, carriedOut(a)) }, done)
+		rpc[core.Result](w, n.Name, "cloud", 4*time.Second, core.ReturnResult{}, func(a func(core.Result)) { w.Cloud.handleReturn(op.Hosts, carriedOut(a)) }, done)
 	case core.SendCommands:
 		if w.commandMoments(Before, n, w.Workers[hostOf(op.Address)], op.Commands); !n.up {
 			return
@@ -471,15 +471,15 @@
 			return
 		}
 		worker := w.Workers[hostOf(op.Address)]
-		w.rpc(n.Name, hostOf(op.Address), 3*time.Second, core.WorkerResult{}, func(a func(any)) {
+		rpc[core.Result](w, n.Name, hostOf(op.Address), 3*time.Second, core.WorkerResult{}, func(a func(core.Result)) {
 			w.delayOnWire(worker, op, func() {
 				w.reach(op.Address, func(k *Worker) {
-					k.handleCommands(op, func(res any) { w.delayOnWire(k, res, func() { a(res) }) })
+					k.handleCommands(op, func(res core.Result) { w.delayOnWire(k, res, func() { a(res) }) })
 				})
 			})
 		}, done)
 	case core.ReadWorkerStatus:
-		w.rpc(n.Name, hostOf(op.Address), 3*time.Second, core.WorkerResult{}, func(a func(any)) {
+		rpc[core.Result](w, n.Name, hostOf(op.Address), 3*time.Second, core.WorkerResult{}, func(a func(core.Result)) {
 			w.reach(op.Address, func(k *Worker) { r := k.status(); a(core.WorkerResult{Outcome: core.OutcomeOK, Status: &r}) })
 		}, done)
 	}
@@ -502,22 +502,9 @@
 	n.nextCall += time.Duration(float64(time.Second) / (0.93 * w.Store.RPS * max(n.share.Requests, 0.01)))
 }
 
-// outcomeOf is the outcome of a call that a moment is told of.
-func outcomeOf(res any) core.Outcome {
-	switch res := res.(type) {
-	case core.CommitResult:
-		return res.Outcome
-	case core.RentResult:
-		return res.Outcome
-	case core.ReturnResult:
-		return res.Outcome
-	}
-	return core.OutcomeUnknown
-}
-
 // notSent is the result of a call that was not made, of the same type as the
 // one given.
-func notSent(res any) any {
+func notSent(res core.Result) core.Result {
 	switch res.(type) {
 	case core.CommitResult:
 		return core.CommitResult{Outcome: core.OutcomeNotSent}
@@ -535,18 +522,18 @@
 
 // repeat has a request that was carried out arrive once more; nobody hears the
 // answer.
-func (n *Node) repeat(op any, life int) {
-	unheard := func(any) {}
+func (n *Node) repeat(op core.Operation, life int) {
+	discard := func(core.Result) {}
 	switch op := op.(type) {
 	case core.CommitTxn:
-		n.w.Store.commit(n.Name, op.Txn, unheard)
+		n.w.Store.commit(n.Name, op.Txn, discard)
 	case core.RentHosts:
-		n.w.Cloud.handleRent(op, unheard)
+		n.w.Cloud.handleRent(op, discard)
 	case core.ReturnHosts:
-		n.w.Cloud.handleReturn(op.Hosts, unheard)
+		n.w.Cloud.handleReturn(op.Hosts, discard)
 	case core.SendCommands:
 		if n.life != life {
-			n.w.reach(op.Address, func(k *Worker) { k.handleCommands(op, unheard) })
+			n.w.reach(op.Address, func(k *Worker) { k.handleCommands(op, discard) })
 		}
 	}
 }
--- a/internal/fake/zones_test.go
+++ b/internal/fake/zones_test.go
@@ -189,10 +189,10 @@
 		return false, 0
 	}
 	require.True(t, w.Until(20*time.Second, func() bool { return lost > 0 }))
-	withdrawn := w.Submit(spec("job-2", "blue", 4, 4), time.Minute) // all of blue's limit
+	cancelled := w.Submit(spec("job-2", "blue", 4, 4), time.Minute) // all of blue's limit
 	w.Run(400 * time.Millisecond)
-	w.Cancel(withdrawn)
-	ends(t, w, withdrawn, 10*time.Second)
+	w.Cancel(cancelled)
+	ends(t, w, cancelled, 10*time.Second)
 	w.Run(5 * time.Second)
 	assert.Empty(t, w.Nodes[0].Core.DescribePlacements())
 	ends(t, w, w.Submit(spec("job-3", "blue", 4, 4), 5*time.Second), time.Minute)
@@ -208,7 +208,7 @@
 	const whole = `{"a":{"c":16,"g":0}}`
 	require.Equal(t, whole, held())
 	given := 0
-	w.RepeatRequest = func(_ string, op any) time.Duration {
+	w.RepeatRequest = func(_ string, op core.Operation) time.Duration {
 		if c, ok := op.(core.CommitTxn); ok && len(c.Txn.Mutations) == 1 && c.Txn.Mutations[0].Key == "quota/blue" {
 			given++
 			return 25 * time.Second
--- a/internal/metrics/metrics.go
+++ b/internal/metrics/metrics.go
@@ -3,7 +3,6 @@
 
 import (
 	"net/http"
-	"reflect"
 
 	"github.com/prometheus/client_golang/prometheus"
 	"github.com/prometheus/client_golang/prometheus/promhttp"
@@ -14,7 +13,7 @@
 // Set holds a controller's metrics.
 type Set struct {
 	Plan       prometheus.Histogram
-	histograms map[int]prometheus.Histogram
+	histograms map[core.Metric]prometheus.Histogram
 	calls      *prometheus.CounterVec
 	registry   *prometheus.Registry
 }
@@ -26,7 +25,7 @@
 	}
 	s := &Set{
 		Plan: hist("settle_seconds", "Time to plan and to decide after a batch of commands.", .0001, .0005, .001, .005, .01, .05, .1, .5),
-		histograms: map[int]prometheus.Histogram{
+		histograms: map[core.Metric]prometheus.Histogram{
 			core.MetricTaskWait:    hist("task_wait_seconds", "Time from a job's coming to a task's start.", .5, 1, 2, 5, 10, 20, 40, 80, 160, 320),
 			core.MetricImageFetch:  hist("image_fetch_seconds", "Time of image fetches.", .5, 1, 2, 5, 10, 20, 40, 80),
 			core.MetricCommitBatch: hist("commit_batch_jobs", "Jobs accepted by one transaction.", 1, 2, 4, 8, 16),
@@ -45,25 +44,39 @@
 var outcomes = map[core.Outcome]string{core.OutcomeUnknown: "unknown", core.OutcomeOK: "ok", core.OutcomeRefused: "refused", core.OutcomeNotSent: "not_sent"}
 
 // Call counts a call and its outcome.
-func (s *Set) Call(op, result any) {
-	out := reflect.ValueOf(result).FieldByName("Outcome").Interface().(core.Outcome)
-	s.calls.WithLabelValues(callLabels[reflect.TypeOf(op)], outcomes[out]).Inc()
+func (s *Set) Call(op core.Operation, result core.Result) {
+	s.calls.WithLabelValues(callLabel(op), outcomes[result.CallOutcome()]).Inc()
 }
 
-// callLabels are the values of the label `call`, which operators' graphs name.
-var callLabels = map[reflect.Type]string{
-	reflect.TypeFor[core.CommitTxn]():        "commit",
-	reflect.TypeFor[core.ReadKey]():          "read",
-	reflect.TypeFor[core.ListKeys]():         "list",
-	reflect.TypeFor[core.WatchKeys]():        "follow",
-	reflect.TypeFor[core.GrantLease]():       "hold",
-	reflect.TypeFor[core.RenewLease]():       "renew",
-	reflect.TypeFor[core.ReadCatalog]():      "catalog",
-	reflect.TypeFor[core.ListHosts]():        "hosts",
-	reflect.TypeFor[core.RentHosts]():        "hire",
-	reflect.TypeFor[core.ReturnHosts]():      "return",
-	reflect.TypeFor[core.SendCommands]():     "orders",
-	reflect.TypeFor[core.ReadWorkerStatus](): "show",
+// callLabel is an operation's value of the label `call`, which operators' graphs name.
+func callLabel(op core.Operation) string {
+	switch op.(type) {
+	case core.CommitTxn:
+		return "commit"
+	case core.ReadKey:
+		return "read"
+	case core.ListKeys:
+		return "list"
+	case core.WatchKeys:
+		return "follow"
+	case core.GrantLease:
+		return "hold"
+	case core.RenewLease:
+		return "renew"
+	case core.ReadCatalog:
+		return "catalog"
+	case core.ListHosts:
+		return "hosts"
+	case core.RentHosts:
+		return "hire"
+	case core.ReturnHosts:
+		return "return"
+	case core.SendCommands:
+		return "orders"
+	case core.ReadWorkerStatus:
+		return "show"
+	}
+	return "other"
 }
 
 // Handler serves the set together with what the core showed when asked.
--- a/internal/runtime/runtime.go
+++ b/internal/runtime/runtime.go
@@ -37,9 +37,9 @@
 // command is an event, a question to the core, or both.
 type command struct {
 	ctx     context.Context // of whoever waits for the reply
-	event   any
+	event   core.Event
 	inspect func(*core.Core)
-	reply   chan any
+	reply   chan core.Effect
 }
 
 // Runtime carries a core.
@@ -56,7 +56,7 @@
 	rejected      atomic.Bool // something was turned away since the core was last told
 	start         time.Time
 	lastRequestID uint64
-	waiting       map[uint64]chan any
+	waiting       map[uint64]chan core.Effect
 	// Calls to workers have slots of their own: a zone of machines that do not
 	// answer would otherwise keep the lease from being renewed.
 	callSlots, workerCallSlots chan struct{}
@@ -67,7 +67,7 @@
 // they do after this process stood still.
 func New(c *core.Core, st *state.Client, cl *cloud.Client, ag *agent.Client, bounds Bounds, links []*peer.Link, seen *metrics.Set, log *slog.Logger) *Runtime {
 	return &Runtime{core: c, state: st, cloud: cl, agent: ag, links: links, log: log, collector: seen,
-		queue: make(chan command, max(minQueue, bounds.Requests+bounds.WorkerCalls+maxCalls)), start: time.Now(), waiting: map[uint64]chan any{},
+		queue: make(chan command, max(minQueue, bounds.Requests+bounds.WorkerCalls+maxCalls)), start: time.Now(), waiting: map[uint64]chan core.Effect{},
 		callSlots: make(chan struct{}, maxCalls), workerCallSlots: make(chan struct{}, bounds.WorkerCalls)}
 }
 
@@ -146,7 +146,7 @@
 	r.execute(ctx, r.core.Handle(r.now(), ev))
 }
 
-func (r *Runtime) execute(ctx context.Context, effects []any) {
+func (r *Runtime) execute(ctx context.Context, effects []core.Effect) {
 	for _, e := range effects {
 		switch e := e.(type) {
 		case core.Call:
@@ -163,16 +163,15 @@
 		case core.Observation:
 			r.collector.Observe(e)
 		case core.LogEvent:
-			level := [...]slog.Level{slog.LevelDebug, slog.LevelInfo, slog.LevelWarn}[e.Level]
-			r.log.Log(ctx, level, e.Message, e.Args...)
+			r.log.Log(ctx, e.Level, e.Message, e.Args...)
 		}
 	}
 }
 
-func (r *Runtime) answer(req uint64, v any) {
+func (r *Runtime) answer(req uint64, reply core.Effect) {
 	if ch := r.waiting[req]; ch != nil {
 		delete(r.waiting, req)
-		ch <- v // has room for the one answer
+		ch <- reply // has room for the one answer
 	}
 }
 
@@ -189,7 +188,7 @@
 	if slots != nil {
 		slots <- struct{}{}
 	}
-	var res any
+	var res core.Result
 	switch op := c.Operation.(type) {
 	case core.CommitTxn:
 		res = r.state.Commit(ctx, op)
@@ -231,8 +230,8 @@
 
 // Submit hands an event to the core and waits for its answer. It fails at once
 // when too much is waiting already.
-func (r *Runtime) Submit(ctx context.Context, event any) (any, error) {
-	cmd := command{ctx: ctx, event: event, reply: make(chan any, 1)}
+func (r *Runtime) Submit(ctx context.Context, event core.Event) (core.Effect, error) {
+	cmd := command{ctx: ctx, event: event, reply: make(chan core.Effect, 1)}
 	select {
 	case r.queue <- cmd:
 	default:
@@ -249,7 +248,7 @@
 
 // Inspect runs f on the owner goroutine and waits for it.
 func (r *Runtime) Inspect(ctx context.Context, f func(*core.Core)) error {
-	cmd := command{ctx: ctx, inspect: f, reply: make(chan any)}
+	cmd := command{ctx: ctx, inspect: f, reply: make(chan core.Effect)}
 	select {
 	case r.queue <- cmd:
 	default:
--- a/internal/runtime/runtime_test.go
+++ b/internal/runtime/runtime_test.go
@@ -33,14 +33,14 @@
 	r := newRuntime(4)
 	ctx, cancel := context.WithCancel(context.Background())
 	cancel()
-	beat := command{event: core.Heartbeat{Status: core.WorkerStatus{Host: "vm-1", Zone: "a"}}, reply: make(chan any, 1)}
-	beat.ctx = ctx
-	r.process(context.Background(), beat)
-	assert.Empty(t, beat.reply)
+	heartbeat := command{event: core.Heartbeat{Status: core.WorkerStatus{Host: "vm-1", Zone: "a"}}, reply: make(chan core.Effect, 1)}
+	heartbeat.ctx = ctx
+	r.process(context.Background(), heartbeat)
+	assert.Empty(t, heartbeat.reply)
 	assert.Zero(t, r.lastRequestID, "the core has not seen it")
-	beat.ctx = context.Background()
-	r.process(context.Background(), beat)
-	assert.Len(t, beat.reply, 1)
+	heartbeat.ctx = context.Background()
+	r.process(context.Background(), heartbeat)
+	assert.Len(t, heartbeat.reply, 1)
 }
 
 func TestCallsThatDoNotComeBackDoNotKeepTheLeaseWaiting(t *testing.T) {
@@ -114,7 +114,7 @@
 func TestRequestsThatAreTurnedAwayAreToldToTheCore(t *testing.T) {
 	r := newRuntime(4)
 	for range cap(r.queue) {
-		r.queue <- command{inspect: func(*core.Core) {}, reply: make(chan any)}
+		r.queue <- command{inspect: func(*core.Core) {}, reply: make(chan core.Effect)}
 	}
 	_, err := r.Submit(t.Context(), core.Heartbeat{})
 	assert.ErrorIs(t, err, ErrBusy)
--- a/internal/state/state.go
+++ b/internal/state/state.go
@@ -148,12 +148,12 @@
 		if r.Err != nil || r.Status != 200 {
 			return core.ListResult{Outcome: core.OutcomeUnknown}
 		}
-		items, more, ledger, err := wire.DecodeKeys(r.Body)
+		items, more, revision, err := wire.DecodeKeys(r.Body)
 		if err != nil {
 			return core.ListResult{Outcome: core.OutcomeUnknown}
 		}
 		if out.Revision == 0 {
-			out.Revision = ledger // the view is no newer than its first page
+			out.Revision = revision // the view is no newer than its first page
 		}
 		out.Items = append(out.Items, items...)
 		if !more || len(items) == 0 {
@@ -181,11 +181,11 @@
 	case r.Status == 410:
 		return core.WatchResult{Outcome: core.OutcomeRefused}
 	}
-	news, ledger, err := wire.DecodeChanges(r.Body)
+	changes, revision, err := wire.DecodeChanges(r.Body)
 	if err != nil {
 		return core.WatchResult{Outcome: core.OutcomeUnknown}
 	}
-	return core.WatchResult{Outcome: core.OutcomeOK, Revision: ledger, Changes: news}
+	return core.WatchResult{Outcome: core.OutcomeOK, Revision: revision, Changes: changes}
 }
 
 // takeToken takes a request's token without waiting for it. What keeps a controller
--- a/internal/wire/workers.go
+++ b/internal/wire/workers.go
@@ -24,10 +24,10 @@
 }
 
 var (
-	taskStates = map[string]int{"fetching": core.TaskFetching, "gathering": core.TaskWaitingForGang, "running": core.TaskRunning, "flushing": core.TaskSaving, "ended": core.TaskExited}
-	taskCauses = map[string]int{"done": core.ExitDone, "stopped": core.ExitStopped, "error": core.ExitFailed, "full": core.ExitNoRoom,
+	taskStates = map[string]core.TaskState{"fetching": core.TaskFetching, "gathering": core.TaskWaitingForGang, "running": core.TaskRunning, "flushing": core.TaskSaving, "ended": core.TaskExited}
+	taskCauses = map[string]core.ExitCause{"done": core.ExitDone, "stopped": core.ExitStopped, "error": core.ExitFailed, "full": core.ExitNoRoom,
 		"in_use": core.ExitInUse, "no_such": core.ExitNoSuchTask, "peers": core.ExitGangIncomplete, "alone": core.ExitGangIncomplete}
-	verbs = map[int]string{core.VerbLaunch: "launch", core.VerbStop: "halt", core.VerbForget: "clear"}
+	verbs = map[core.Verb]string{core.VerbLaunch: "launch", core.VerbStop: "halt", core.VerbForget: "clear"}
 )
 
 // DecodeWorkerStatus reads a worker's report.
