--- a/internal/api/submissions_test.go
+++ b/internal/api/submissions_test.go
@@ -17,6 +17,7 @@
 	"roadcleat/internal/cloud"
 	"roadcleat/internal/core"
 	"roadcleat/internal/metrics"
+	"roadcleat/internal/model"
 	"roadcleat/internal/runtime"
 	"roadcleat/internal/state"
 )
@@ -40,7 +41,7 @@
 	addr := strings.TrimPrefix(srv.URL, "http://")
 	log := slog.New(slog.NewTextHandler(io.Discard, nil))
 	rt := runtime.New(core.New(core.Config{Label: "n0", Zone: "a", Zones: []string{"a"}, MaxTxnOps: 12, MaxValueBytes: 4096,
-		Teams: []core.Team{{Name: "t", Limit: core.Resources{Cores: 8}}}}),
+		Teams: []core.Team{{Name: "t", Limit: model.Resources{Cores: 8}}}}),
 		state.New(addr, 1000, 500, 12, 1), cloud.New(addr, 50, 1), agent.New(4), runtime.Bounds{WorkerCalls: 4}, nil, metrics.New(), log)
 	go rt.Run(t.Context())
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
--- a/internal/core/backfill.go
+++ b/internal/core/backfill.go
@@ -3,6 +3,7 @@
 import (
 	"cmp"
 	"math"
+	"roadcleat/internal/model"
 	"slices"
 	"time"
 )
@@ -27,14 +28,14 @@
 	if job.team < 0 {
 		return false
 	}
-	return c.teamConfigs[job.team].Guarantee == (Resources{}) || job.spec.Priority == priorities-1 && !c.underGuarantee[job.team]
+	return c.teamConfigs[job.team].Guarantee == (model.Resources{}) || job.spec.Priority == priorities-1 && !c.underGuarantee[job.team]
 }
 
 // preemptible says whether a running task may be stopped at little loss for a job that
 // needs its room.
 func (c *Core) preemptible(task *Task) bool {
 	job := task.job()
-	return job != nil && job.state == JobPending && task.phase == taskPlaced && !task.stopping && c.isBackfill(job) &&
+	return job != nil && job.state == model.JobPending && task.phase == taskPlaced && !task.stopping && c.isBackfill(job) &&
 		(job.spec.CheckpointSeconds > 0 || task.state == TaskFetching)
 }
 
@@ -145,7 +146,7 @@
 		return v.spec.Priority > job.spec.Priority || c.underGuarantee[job.team]
 	}
 	return v != nil && job.spec.Service && !v.spec.Service && v.spec.Priority > job.spec.Priority &&
-		v.state == JobPending && task.phase == taskPlaced && !task.stopping
+		v.state == model.JobPending && task.phase == taskPlaced && !task.stopping
 }
 
 // preemptibleHosts lists the machines with tasks that would give way to somebody.
@@ -191,7 +192,7 @@
 	type offer struct {
 		host    *Host
 		victims []*Task
-		free    Resources
+		free    model.Resources
 		image   bool
 		loss    float64
 	}
@@ -206,7 +207,7 @@
 		o := offer{host: host, free: c.types[host.typeIndex].Capacity}
 		for _, id := range sortedTasks(host.tasks) { // sums must not depend on a map's order
 			task := host.tasks[id]
-			o.free = o.free.plus(task.need, -1)
+			o.free = o.free.Minus(task.need)
 			if c.preemptibleFor(task, job) {
 				o.victims = append(o.victims, task)
 				o.loss += c.preemptionLoss(task)
@@ -235,11 +236,11 @@
 		})
 		for made < tasks {
 			k, free := 0, o.free
-			for !job.spec.Need.plan().Within(free.plan()) && k < len(o.victims) {
-				free = free.plus(o.victims[k].need, 1)
+			for !job.spec.Need.FitsIn(free) && k < len(o.victims) {
+				free = free.Plus(o.victims[k].need)
 				k++
 			}
-			if k == 0 || !job.spec.Need.plan().Within(free.plan()) {
+			if k == 0 || !job.spec.Need.FitsIn(free) {
 				break // free without anybody's stopping is the plan's business
 			}
 			until := c.now + time.Second
@@ -250,7 +251,7 @@
 				c.info("task stopped for a more urgent one", "job", task.id.Job, "task", task.id.Index, "host", o.host.name, "part", shard.name, "for", job.id, "leeway", gracePeriod)
 				c.stopTask(shard, task, gracePeriod)
 			}
-			o.victims, o.free = o.victims[k:], free.plus(job.spec.Need, -1)
+			o.victims, o.free = o.victims[k:], free.Minus(job.spec.Need)
 			assignment.pendingPreemptions = append(assignment.pendingPreemptions, until)
 			made++
 		}
--- a/internal/core/consolidation.go
+++ b/internal/core/consolidation.go
@@ -2,6 +2,7 @@
 
 import (
 	"cmp"
+	"roadcleat/internal/model"
 	"slices"
 	"time"
 )
@@ -110,7 +111,7 @@
 type receiver struct {
 	host     *Host
 	used     float64 // of the machine, in its cores
-	free     Resources
+	free     model.Resources
 	receives bool // some replica is to go there
 }
 
@@ -119,7 +120,7 @@
 	for _, id := range sortedTasks(host.tasks) { // sums must not depend on a map's order
 		task := host.tasks[id]
 		r.used += c.coresTaken(task.need, host.typeIndex)
-		r.free = r.free.plus(task.need, -1)
+		r.free = r.free.Minus(task.need)
 	}
 	return r
 }
@@ -142,7 +143,7 @@
 func (c *Core) fitElsewhere(shard *Shard, host *Host, rooms []*receiver) bool {
 	type booking struct {
 		to   *receiver
-		need Resources
+		need model.Resources
 	}
 	var booked []booking
 	for _, id := range sortedTasks(host.tasks) {
@@ -152,15 +153,15 @@
 		for i := len(rooms) - 1; i >= 0 && !found; i-- {
 			r := rooms[i]
 			_, image := r.host.images[job.image]
-			if (image || job.image < 0) && task.need.plan().Within(r.free.plan()) && c.allowedOn(job, c.kindIndex(shard.zone, r.host.typeIndex, r.host.spot)) {
-				r.free = r.free.plus(task.need, -1)
+			if (image || job.image < 0) && task.need.FitsIn(r.free) && c.allowedOn(job, c.kindIndex(shard.zone, r.host.typeIndex, r.host.spot)) {
+				r.free = r.free.Minus(task.need)
 				booked = append(booked, booking{r, task.need})
 				found = true
 			}
 		}
 		if !found {
 			for _, b := range booked {
-				b.to.free = b.to.free.plus(b.need, 1)
+				b.to.free = b.to.free.Plus(b.need)
 			}
 			return false
 		}
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -4,11 +4,10 @@
 	"encoding/json"
 	"log/slog"
 	"math/rand/v2"
+	"roadcleat/internal/model"
 	"slices"
 	"strings"
 	"time"
-
-	"roadcleat/internal/plan"
 )
 
 // PeerConfig is another controller.
@@ -18,7 +17,7 @@
 // nothing guaranteed, or not limited.
 type Team struct {
 	Name             string
-	Guarantee, Limit Resources
+	Guarantee, Limit model.Resources
 }
 
 // Tuning are the operators' settings.
@@ -66,7 +65,7 @@
 
 	zones, teams, images, classes     nameIndex
 	imageGB                           []float64 // by image
-	types                             []MachineType
+	types                             []model.MachineType
 	typeIndex                         nameIndex
 	catalogReadAt, catalogRequestedAt time.Duration
 	catalogPending                    bool
@@ -77,7 +76,7 @@
 	shards   []*Shard // by zone
 	peers    []*Peer  // as in the settings
 	jobs     map[string]*Job
-	finished map[string]JobState // ended jobs; kept for ever
+	finished map[string]model.JobState // ended jobs; kept for ever
 
 	quotas         []*TeamQuota // by team
 	teamConfigs    []Team       // by team
@@ -167,7 +166,7 @@
 	c := &Core{
 		cfg: cfg, pendingCalls: map[uint64]func(Result){}, callCounts: map[string]int{},
 		rng:  rand.New(rand.NewPCG(cfg.Seed, cfg.Epoch)),
-		jobs: map[string]*Job{}, finished: map[string]JobState{}, submissionsByJob: map[string]*submission{}, openQueries: map[string][]uint64{},
+		jobs: map[string]*Job{}, finished: map[string]model.JobState{}, submissionsByJob: map[string]*submission{}, openQueries: map[string][]uint64{},
 		jobCounts: map[string][]JobCounts{}, foreignHeartbeats: map[string]map[string]time.Duration{}, gossipSentAt: map[uint64]time.Duration{}, fetchSecondsPerGB: map[int]float64{},
 		shardWatch: watchState{prefix: "part/"}, jobWatch: watchState{prefix: "job/"},
 	}
@@ -470,11 +469,11 @@
 	}
 }
 
-func (c *Core) addMachineTypes(types []MachineType) {
+func (c *Core) addMachineTypes(types []model.MachineType) {
 	for _, t := range types {
 		i := c.typeIndex.indexOf(t.Name)
 		for len(c.types) <= i {
-			c.types = append(c.types, MachineType{})
+			c.types = append(c.types, model.MachineType{})
 		}
 		c.types[i] = t
 		for _, z := range t.Zones {
@@ -495,7 +494,7 @@
 		if res.Outcome != OutcomeOK {
 			return
 		}
-		var types []MachineType
+		var types []model.MachineType
 		if c.typesRevision = res.Item.Revision; res.Found && json.Unmarshal(res.Item.Value, &types) == nil && len(c.types) == 0 {
 			c.addMachineTypes(types)
 			c.storedTypes = typesWithoutPrices(types)
@@ -522,7 +521,7 @@
 			c.typesPending = true
 			c.readKey(machineTypesKey, false, func(r ReadResult) {
 				c.typesPending = false
-				var types []MachineType
+				var types []model.MachineType
 				if r.Outcome == OutcomeOK && json.Unmarshal(r.Item.Value, &types) == nil {
 					c.typesRevision, c.storedTypes = r.Item.Revision, typesWithoutPrices(types)
 				}
@@ -532,12 +531,12 @@
 }
 
 // typesWithoutPrices is what of machine types counts when they are compared.
-func typesWithoutPrices(types []MachineType) string {
+func typesWithoutPrices(types []model.MachineType) string {
 	plain := slices.Clone(types)
 	for i := range plain {
 		plain[i].Price, plain[i].SpotPrice = 0, 0
 	}
-	slices.SortFunc(plain, func(a, b MachineType) int { return strings.Compare(a.Name, b.Name) })
+	slices.SortFunc(plain, func(a, b model.MachineType) int { return strings.Compare(a.Name, b.Name) })
 	b, _ := json.Marshal(plain)
 	return string(b)
 }
@@ -551,14 +550,6 @@
 	return k
 }
 
-func (a Resources) plan() plan.Amount {
-	return plan.Amount{Cores: a.Cores, Cards: a.GPUs, Mem: a.MemoryGB}
-}
-
-func (a Resources) plus(b Resources, times float64) Resources {
-	return Resources{a.Cores + b.Cores*times, a.GPUs + b.GPUs*times, a.MemoryGB + b.MemoryGB*times}
-}
-
 func seconds(d time.Duration) float64 { return d.Seconds() }
 
 // duration is some seconds, three years at most: sums of what users state must not
--- a/internal/core/dealing.go
+++ b/internal/core/dealing.go
@@ -6,6 +6,7 @@
 	"slices"
 	"time"
 
+	"roadcleat/internal/model"
 	"roadcleat/internal/plan"
 )
 
@@ -26,10 +27,10 @@
 			continue
 		}
 		for range min(v.Count, maxHostsPerGroup) {
-			d := &plan.Device{Kind: c.kindIndex(shard.zone, typ, v.Spot), Total: c.types[typ].Capacity.plan(), Up: now + v.ReadyInSeconds,
+			d := &plan.Device{Kind: c.kindIndex(shard.zone, typ, v.Spot), Total: c.types[typ].Capacity, Up: now + v.ReadyInSeconds,
 				SPerGB: c.fetchRate(typ), Slow: 1, FetchAt: now + v.FetchingSeconds}
 			if v.Used.Cores > 0 || v.Used.GPUs > 0 {
-				d.Uses = append(make([]plan.Use, 0, 4), plan.Use{Start: 0, End: now + v.BusySeconds, Amount: v.Used.plan()})
+				d.Uses = append(make([]plan.Use, 0, 4), plan.Use{Start: 0, End: now + v.BusySeconds, Amount: v.Used})
 			}
 			if v.ReadyInSeconds == 0 {
 				// Which machines hold an image is not told, only how many do: it
@@ -65,7 +66,7 @@
 
 // distribute splits a new job over the parts: each task to the part of its
 // earliest-finish machine, as the job's limits on zones allow.
-func (c *Core) distribute(spec *JobSpec) map[string]taskRanges {
+func (c *Core) distribute(spec *model.JobSpec) map[string]taskRanges {
 	job := &Job{id: spec.ID, spec: *spec, image: -1, class: c.classes.indexOf(spec.Class), team: c.teams.lookup(spec.Team)}
 	if spec.Image != "" {
 		job.image = c.imageIndex(spec)
@@ -165,7 +166,7 @@
 func (c *Core) zoneHolds(job *Job, shard *Shard) bool {
 	for t := range c.types {
 		typ := &c.types[t]
-		if slices.Contains(typ.Zones, shard.name) && job.spec.Need.plan().Within(typ.Capacity.plan()) &&
+		if slices.Contains(typ.Zones, shard.name) && job.spec.Need.FitsIn(typ.Capacity) &&
 			c.allowedOn(job, c.kindIndex(shard.zone, t, false)) {
 			return true
 		}
--- a/internal/core/demand.go
+++ b/internal/core/demand.go
@@ -2,6 +2,7 @@
 
 import (
 	"math"
+	"roadcleat/internal/model"
 	"slices"
 	"time"
 )
@@ -13,7 +14,7 @@
 // cores, cards and memory whatever it takes the largest share of. Where cards bind,
 // machines without a card left counted as having a third or a sixth of their cores free.
 // It is a multiple of 1/64, which add up to the same in any order.
-func (c *Core) coresTaken(need Resources, typ int) float64 {
+func (c *Core) coresTaken(need model.Resources, typ int) float64 {
 	t, share := c.types[typ].Capacity, 0.0
 	for _, x := range [][2]float64{{need.Cores, t.Cores}, {need.GPUs, t.GPUs}, {need.MemoryGB, t.MemoryGB}} {
 		if x[0] > 0 && x[1] > 0 {
@@ -80,7 +81,7 @@
 // addWaiting adds the tasks of a slice that could start if there were room.
 func (c *Core) addWaiting(shard *Shard, l *shardDemand, assignment *Assignment) {
 	job := assignment.job
-	if job.state != JobPending || job.team < 0 || len(assignment.waiting) == 0 || c.isBackfill(job) {
+	if job.state != model.JobPending || job.team < 0 || len(assignment.waiting) == 0 || c.isBackfill(job) {
 		return
 	}
 	typ := c.usualType(job)
--- a/internal/core/effects.go
+++ b/internal/core/effects.go
@@ -1,6 +1,9 @@
 package core
 
-import "log/slog"
+import (
+	"log/slog"
+	"roadcleat/internal/model"
+)
 
 // Effect is something that the runtime is to do. The set is closed.
 type Effect interface{ effect() }
@@ -15,10 +18,10 @@
 	// UserReply answers a user.
 	UserReply struct {
 		RequestID  uint64
-		Status     int       // of HTTP
-		Job        JobStatus // with status 200 and 201
-		RetryAfter int       // seconds, 0 for none
-		Text       string    // what went wrong, with any other status
+		Status     int             // of HTTP
+		Job        model.JobStatus // with status 200 and 201
+		RetryAfter int             // seconds, 0 for none
+		Text       string          // what went wrong, with any other status
 	}
 	// HeartbeatReply answers a worker's heartbeat.
 	HeartbeatReply struct {
--- a/internal/core/events.go
+++ b/internal/core/events.go
@@ -2,6 +2,8 @@
 // output and has no goroutines, clock or logger: events and the time go in, effects come out.
 package core
 
+import "roadcleat/internal/model"
+
 // Event is something that has happened. The set is closed. Request ids are given by the
 // runtime and come back in the replies.
 type Event interface{ event() }
@@ -18,7 +20,7 @@
 	// JobSubmission is a user's submission of a job, which may be a repeated one.
 	JobSubmission struct {
 		RequestID uint64
-		Spec      JobSpec
+		Spec      model.JobSpec
 		Malformed string // what is wrong with the body, or empty
 	}
 	// JobQuery asks for a job's state.
--- a/internal/core/explain.go
+++ b/internal/core/explain.go
@@ -2,6 +2,7 @@
 
 import (
 	"fmt"
+	"roadcleat/internal/model"
 	"slices"
 	"sort"
 )
@@ -32,7 +33,7 @@
 func (c *Core) Explain(id string) (Explanation, bool) {
 	e := Explanation{Job: id, State: "unfinished"}
 	if s, over := c.finished[id]; over {
-		e.State = map[JobState]string{JobDone: "done", JobCancelled: "withdrawn"}[s]
+		e.State = map[model.JobState]string{model.JobDone: "done", model.JobCancelled: "withdrawn"}[s]
 	}
 	job := c.jobs[id]
 	zones := map[string]bool{}
@@ -123,9 +124,9 @@
 func (c *Core) whyWaiting(shard *Shard, assignment *Assignment, first map[int]*Host) (Reason, string) {
 	job := assignment.job
 	plain := func(r Reason) (Reason, string) { return r, r.String() }
-	limited := job.team >= 0 && c.teamConfigs[job.team].Limit.limits(job.spec.Need)
+	limited := job.team >= 0 && limitConcerns(c.teamConfigs[job.team].Limit, job.spec.Need)
 	switch {
-	case job.state != JobPending:
+	case job.state != model.JobPending:
 		return ReasonNone, "the job is over"
 	case job.team < 0:
 		return plain(ReasonTeamUnknown)
--- a/internal/core/faults.go
+++ b/internal/core/faults.go
@@ -201,7 +201,7 @@
 			continue
 		}
 		left = append(left, d)
-		usable = usable || d.host.state == hostUp && c.allowedOn(job, d.Kind) && job.spec.Need.plan().Within(d.Total)
+		usable = usable || d.host.state == hostUp && c.allowedOn(job, d.Kind) && job.spec.Need.FitsIn(d.Total)
 	}
 	if job.failedTrials > 0 && !usable {
 		return all
--- a/internal/core/gossip.go
+++ b/internal/core/gossip.go
@@ -1,5 +1,7 @@
 package core
 
+import "roadcleat/internal/model"
+
 // Message is what controllers send each other.
 type Message struct {
 	Epoch          uint64 // which life of the sender
@@ -42,7 +44,7 @@
 	Images       []ImageShare
 	Exhausted    []MachineKind // machines that were refused lately
 	Jobs         []JobCounts
-	TeamUsage    map[string]Resources
+	TeamUsage    map[string]model.Resources
 	BackfillRoom map[string]float64 // cores that backfill may take, by type
 	Queues       []Queue            // what does not run yet, by class and team
 }
@@ -60,10 +62,10 @@
 	Type            string
 	Spot            bool
 	Count           int
-	ReadyInSeconds  float64   // seconds until they can take work
-	Used            Resources // of each
-	BusySeconds     float64   // seconds until that is free again
-	FetchingSeconds float64   // seconds until fetches queued are through
+	ReadyInSeconds  float64         // seconds until they can take work
+	Used            model.Resources // of each
+	BusySeconds     float64         // seconds until that is free again
+	FetchingSeconds float64         // seconds until fetches queued are through
 }
 
 // Backlog is how long work of a priority that waits for a type of machine keeps
--- a/internal/core/hiring.go
+++ b/internal/core/hiring.go
@@ -3,6 +3,7 @@
 import (
 	"fmt"
 	"math"
+	"roadcleat/internal/model"
 	"slices"
 	"sort"
 	"time"
@@ -206,7 +207,7 @@
 }
 
 // tasksPerMachine is how many tasks of a shape an empty machine of the type takes.
-func (c *Core) tasksPerMachine(typ int, per Resources) int {
+func (c *Core) tasksPerMachine(typ int, per model.Resources) int {
 	t := c.types[typ].Capacity
 	n := 1 << 20
 	for _, x := range [][2]float64{{t.Cores, per.Cores}, {t.GPUs, per.GPUs}, {t.MemoryGB, per.MemoryGB}} {
--- a/internal/core/hosts.go
+++ b/internal/core/hosts.go
@@ -2,6 +2,7 @@
 
 import (
 	"fmt"
+	"roadcleat/internal/model"
 	"time"
 )
 
@@ -74,8 +75,8 @@
 	cordoned               bool // gets no new work: its replicas are being moved off it
 	cordonedAt             time.Duration
 
-	tasks            map[TaskID]*Task
-	reported         map[TaskID]TaskStatus
+	tasks            map[model.TaskID]*Task
+	reported         map[model.TaskID]TaskStatus
 	commands         []Command
 	inSendList       bool                     // on the part's list of hosts with orders
 	launchesInFlight map[launchKey]sentLaunch // launches that may still be under way
@@ -95,13 +96,13 @@
 
 // Task is a task that is, may be or is about to be on a machine.
 type Task struct {
-	id              TaskID
+	id              model.TaskID
 	assignment      *Assignment // nil: nobody wants it any more
 	host            *Host
 	attempt         uint64
 	phase           taskPhase
 	state           TaskState
-	need            Resources
+	need            model.Resources
 	team            int
 	placedAt        time.Duration
 	startedAt       time.Duration // when it was seen running
@@ -139,7 +140,7 @@
 	host := shard.hosts[name]
 	if host == nil {
 		host = &Host{name: name, shard: shard, typeIndex: -1, state: hostUp, since: c.now, lastHeard: c.now, slowness: 1, heartbeatTimeout: c.cfg.HeartbeatInterval * 18 / 10,
-			tasks: map[TaskID]*Task{}, reported: map[TaskID]TaskStatus{}, launchesInFlight: map[launchKey]sentLaunch{},
+			tasks: map[model.TaskID]*Task{}, reported: map[model.TaskID]TaskStatus{}, launchesInFlight: map[launchKey]sentLaunch{},
 			images: map[int]time.Duration{}, fetching: map[int]time.Duration{}, idleSince: c.now}
 		shard.addHost(host)
 	}
@@ -150,7 +151,7 @@
 func (c *Core) reserve(shard *Shard, task *Task) {
 	task.host.tasks[task.id] = task
 	if task.team >= 0 {
-		shard.teamUsage[task.team] = shard.teamUsage[task.team].plus(task.need, 1)
+		shard.teamUsage[task.team] = shard.teamUsage[task.team].Plus(task.need)
 	}
 }
 
@@ -164,7 +165,7 @@
 		task.host.idleSince = c.now
 	}
 	if task.team >= 0 {
-		shard.teamUsage[task.team] = shard.teamUsage[task.team].plus(task.need, -1)
+		shard.teamUsage[task.team] = shard.teamUsage[task.team].Minus(task.need)
 	}
 	shard.needsPlan = true
 }
--- a/internal/core/jobs.go
+++ b/internal/core/jobs.go
@@ -4,6 +4,7 @@
 	"encoding/json"
 	"maps"
 	"math"
+	"roadcleat/internal/model"
 	"slices"
 	"time"
 )
@@ -11,8 +12,8 @@
 // Job is what this controller knows of an unfinished job.
 type Job struct {
 	id              string
-	spec            JobSpec
-	state           JobState // Pending while unfinished
+	spec            model.JobSpec
+	state           model.JobState // Pending while unfinished
 	revision        uint64
 	arrivalRevision uint64 // order of arrival
 	split           map[string]taskRanges
@@ -37,7 +38,7 @@
 // jobRecord is a job as the state service holds it. The split is how its tasks
 // were first dealt out; once tasks have moved the slices alone tell.
 type jobRecord struct {
-	Spec  JobSpec               `json:"s"`
+	Spec  model.JobSpec         `json:"s"`
 	State string                `json:"st,omitempty"`
 	Split map[string]taskRanges `json:"p,omitempty"`
 	Moves int                   `json:"m,omitempty"`
@@ -77,11 +78,11 @@
 		return job
 	}
 	if v.State != "" {
-		s := JobDone
+		s := model.JobDone
 		if v.State == recordedCancelled {
-			s = JobCancelled
+			s = model.JobCancelled
 		}
-		if s == JobCancelled {
+		if s == model.JobCancelled {
 			c.recentCancellations = append(c.recentCancellations, cancellationNotice{c.now, c.gossipSeq + 1, Item{"job/" + id, cancelledRecord, revision}})
 		}
 		c.finishJob(id, s)
@@ -206,7 +207,7 @@
 	})
 }
 
-func (c *Core) newJob(id string, spec JobSpec, revision uint64) *Job {
+func (c *Core) newJob(id string, spec model.JobSpec, revision uint64) *Job {
 	spec.ID = id
 	job := &Job{id: id, spec: spec, arrivalRevision: revision, knownSince: c.now, image: -1, team: c.teams.lookup(spec.Team), class: c.classes.indexOf(spec.Class)}
 	if spec.Image != "" {
@@ -216,7 +217,7 @@
 }
 
 // imageIndex is the dense index of a job's image; its size is what jobs state.
-func (c *Core) imageIndex(spec *JobSpec) int {
+func (c *Core) imageIndex(spec *model.JobSpec) int {
 	i := c.images.indexOf(spec.Image)
 	for len(c.imageGB) <= i {
 		c.imageGB = append(c.imageGB, 0)
@@ -226,7 +227,7 @@
 }
 
 // finishJob records that a job is over.
-func (c *Core) finishJob(id string, s JobState) {
+func (c *Core) finishJob(id string, s model.JobState) {
 	c.finished[id] = s
 	job := c.jobs[id]
 	delete(c.jobs, id)
@@ -282,7 +283,7 @@
 
 // submission is a job on its way into the store, with all who wait for it.
 type submission struct {
-	spec         JobSpec
+	spec         model.JobSpec
 	split        map[string]taskRanges
 	requests     []uint64
 	sent         bool     // its transaction is under way
@@ -312,7 +313,7 @@
 		return
 	}
 	if s, over := c.finished[id]; over {
-		c.emit(UserReply{RequestID: e.RequestID, Status: 200, Job: JobStatus{ID: id, State: s}})
+		c.emit(UserReply{RequestID: e.RequestID, Status: 200, Job: model.JobStatus{ID: id, State: s}})
 		return
 	}
 	if submission := c.submissionsByJob[id]; submission != nil {
@@ -366,7 +367,7 @@
 }
 
 // whyNeverRuns says why a job can never run, or nothing.
-func (c *Core) whyNeverRuns(s *JobSpec) string {
+func (c *Core) whyNeverRuns(s *model.JobSpec) string {
 	team := c.teams.lookup(s.Team)
 	if team < 0 {
 		return "unknown team"
@@ -387,7 +388,7 @@
 	zones := map[string]bool{}
 	for i := range c.types {
 		t := &c.types[i]
-		if s.Need.plan().Within(t.Capacity.plan()) && (len(s.Types) == 0 || slices.Contains(s.Types, t.Name)) {
+		if s.Need.FitsIn(t.Capacity) && (len(s.Types) == 0 || slices.Contains(s.Types, t.Name)) {
 			for _, z := range t.Zones {
 				zones[z] = zones[z] || s.Zone == "" || s.Zone == z
 			}
@@ -418,8 +419,8 @@
 	})
 }
 
-func (c *Core) jobStatus(id string) JobStatus {
-	r := JobStatus{ID: id}
+func (c *Core) jobStatus(id string) model.JobStatus {
+	r := model.JobStatus{ID: id}
 	if s, over := c.finished[id]; over {
 		r.State = s
 		return r
@@ -440,7 +441,7 @@
 		}
 	}
 	if r.Running > 0 {
-		r.State = JobRunning
+		r.State = model.JobRunning
 	}
 	return r
 }
@@ -569,7 +570,7 @@
 // handleQuery answers a user who asks for a job.
 func (c *Core) handleQuery(e JobQuery) {
 	if s, over := c.finished[e.ID]; over {
-		c.emit(UserReply{RequestID: e.RequestID, Status: 200, Job: JobStatus{ID: e.ID, State: s}})
+		c.emit(UserReply{RequestID: e.RequestID, Status: 200, Job: model.JobStatus{ID: e.ID, State: s}})
 		return
 	}
 	if c.openQueries[e.ID] == nil {
@@ -663,7 +664,7 @@
 
 func (c *Core) tryCancel(e JobCancellation, tries int) {
 	if s, over := c.finished[e.ID]; over {
-		c.emit(UserReply{RequestID: e.RequestID, Status: 200, Job: JobStatus{ID: e.ID, State: s}})
+		c.emit(UserReply{RequestID: e.RequestID, Status: 200, Job: model.JobStatus{ID: e.ID, State: s}})
 		return
 	}
 	if tries == 0 {
@@ -695,7 +696,7 @@
 			c.info("job withdrawn", "job", e.ID)
 			c.applyJobRecord(e.ID, value, res.Revision)
 			c.broadcast(Message{Jobs: []Item{{key, value, res.Revision}}})
-			c.emit(UserReply{RequestID: e.RequestID, Status: 200, Job: JobStatus{ID: e.ID, State: JobCancelled}})
+			c.emit(UserReply{RequestID: e.RequestID, Status: 200, Job: model.JobStatus{ID: e.ID, State: model.JobCancelled}})
 		})
 	})
 }
--- a/internal/core/launches.go
+++ b/internal/core/launches.go
@@ -1,9 +1,12 @@
 package core
 
-import "time"
+import (
+	"roadcleat/internal/model"
+	"time"
+)
 
 type launchKey struct {
-	task    TaskID
+	task    model.TaskID
 	attempt uint64
 }
 
@@ -20,7 +23,7 @@
 	switch {
 	case host.state == hostGone:
 		c.confirmExit(shard, task, false)
-	case task.assignment == nil || task.assignment.job.state != JobPending:
+	case task.assignment == nil || task.assignment.job.state != model.JobPending:
 		c.stopTask(shard, task, 0)
 	default:
 		shard.enqueue(host, Command{Verb: VerbLaunch, Task: task.id, Attempt: task.attempt})
@@ -41,7 +44,7 @@
 	if len(assignment.tasks) == 0 {
 		assignment.lastExitAt = c.now
 	}
-	if assignment.job.state != JobPending {
+	if assignment.job.state != model.JobPending {
 		if len(assignment.tasks) == 0 {
 			shard.dirty[assignment.job.id] = assignment
 		}
--- a/internal/core/market.go
+++ b/internal/core/market.go
@@ -130,7 +130,7 @@
 			if c.reportsNoHeartbeats(shard) {
 				wait += 60
 			}
-			total, kind := typ.Capacity.plan(), c.kindIndex(shard.zone, t, spot)
+			total, kind := typ.Capacity, c.kindIndex(shard.zone, t, spot)
 			penalty += have.crowding(kind, kind%(len(c.types)*2))
 			if !spot && job.spec.Spot {
 				penalty += ordinaryRentalCost
--- a/internal/core/moves.go
+++ b/internal/core/moves.go
@@ -5,6 +5,7 @@
 	"maps"
 	"time"
 
+	"roadcleat/internal/model"
 	"roadcleat/internal/plan"
 )
 
@@ -126,7 +127,7 @@
 	c.readKey(key, true, func(res ReadResult) {
 		shard.movePending = false
 		if res.Outcome != OutcomeOK || !shard.owned || shard.token != token || shard.txnPending || shard.claiming || shard.handingOver ||
-			len(shard.unknownKeys) > 0 || shard.assignments[job.id] != assignment || job.state != JobPending || len(assignment.unrecordedExits) > 0 {
+			len(shard.unknownKeys) > 0 || shard.assignments[job.id] != assignment || job.state != model.JobPending || len(assignment.unrecordedExits) > 0 {
 			return
 		}
 		for _, task := range assignment.tasks {
--- a/internal/core/operations.go
+++ b/internal/core/operations.go
@@ -1,6 +1,9 @@
 package core
 
-import "time"
+import (
+	"roadcleat/internal/model"
+	"time"
+)
 
 // Condition is a condition of a transaction: the key has this revision. Revision 0 means
 // that the key does not exist.
@@ -154,12 +157,12 @@
 	// CatalogResult holds the machine types.
 	CatalogResult struct {
 		Outcome Outcome
-		Types   []MachineType
+		Types   []model.MachineType
 	}
 	// HostsResult holds all machines.
 	HostsResult struct {
 		Outcome Outcome
-		Hosts   []ListedHost
+		Hosts   []model.ListedHost
 	}
 	// RentResult holds the names of the machines rented; refused means no capacity.
 	RentResult struct {
--- a/internal/core/order.go
+++ b/internal/core/order.go
@@ -3,6 +3,7 @@
 import (
 	"cmp"
 	"maps"
+	"roadcleat/internal/model"
 	"slices"
 )
 
@@ -10,8 +11,8 @@
 // events alone, so that any run can be played again.
 func sorted[K cmp.Ordered, V any](m map[K]V) []K { return slices.Sorted(maps.Keys(m)) }
 
-func sortedTasks[V any](m map[TaskID]V) []TaskID {
-	return slices.SortedFunc(maps.Keys(m), func(a, b TaskID) int {
+func sortedTasks[V any](m map[model.TaskID]V) []model.TaskID {
+	return slices.SortedFunc(maps.Keys(m), func(a, b model.TaskID) int {
 		return cmp.Or(cmp.Compare(a.Job, b.Job), cmp.Compare(a.Index, b.Index))
 	})
 }
--- a/internal/core/parts.go
+++ b/internal/core/parts.go
@@ -2,6 +2,7 @@
 
 import (
 	"encoding/json"
+	"roadcleat/internal/model"
 	"slices"
 	"strings"
 	"time"
@@ -44,7 +45,7 @@
 	dirty             map[string]*Assignment
 	completions       []*completion            // jobs of several parts to be set done
 	recordBy          map[string]time.Duration // slices with ends to record by then
-	teamUsage         []Resources              // by team
+	teamUsage         []model.Resources        // by team
 
 	txnPending    bool
 	unknownKeys   map[string]bool
@@ -396,7 +397,7 @@
 	if !again {
 		shard.term = revision // all else of a part not owned is as newPart made it
 		shard.lastHeartbeatAt, shard.unloadedSince = c.now, c.now
-		shard.teamUsage = make([]Resources, len(c.teamConfigs))
+		shard.teamUsage = make([]model.Resources, len(c.teamConfigs))
 		shard.txnPending = false
 		c.nextListAt = 0
 		for _, q := range c.quotas {
--- a/internal/core/peers.go
+++ b/internal/core/peers.go
@@ -2,6 +2,7 @@
 
 import (
 	"math"
+	"roadcleat/internal/model"
 	"slices"
 	"strings"
 	"time"
@@ -185,7 +186,7 @@
 }
 
 func (c *Core) shardView(shard *Shard) ShardView {
-	v := ShardView{Zone: shard.name, Token: shard.token, TeamUsage: map[string]Resources{}, NoHeartbeats: c.noHeartbeats(shard)}
+	v := ShardView{Zone: shard.name, Token: shard.token, TeamUsage: map[string]model.Resources{}, NoHeartbeats: c.noHeartbeats(shard)}
 	v.Hosts, v.Images = c.hostGroups(shard)
 	v.Backlog = c.backlog(shard)
 	v.BackfillRoom = map[string]float64{}
@@ -204,7 +205,7 @@
 	first := c.nextHostsUp(shard)
 	for _, id := range sorted(shard.assignments) {
 		assignment := shard.assignments[id]
-		if assignment.job.state == JobPending {
+		if assignment.job.state == model.JobPending {
 			n := assignment.counts()
 			c.trackMissing(assignment, n)
 			shown := JobCounts{ID: id, Done: assignment.done.count(), Running: n.Running}
@@ -247,7 +248,7 @@
 			if c.preemptible(task) {
 				continue // it gives way to what is dealt here
 			}
-			g.Used = g.Used.plus(task.need, 1)
+			g.Used = g.Used.Plus(task.need)
 			use := c.coresTaken(task.need, host.typeIndex)
 			sum += float64((c.expectedEnd(task)-c.now)/time.Millisecond) * use
 			uses += use
@@ -297,7 +298,7 @@
 	served := make([]float64, len(pools))
 	for _, id := range sorted(shard.assignments) { // sums must not depend on a map's order
 		assignment := shard.assignments[id]
-		if assignment.job.state != JobPending {
+		if assignment.job.state != model.JobPending {
 			continue
 		}
 		typ := c.usualType(assignment.job)
--- a/internal/core/planning.go
+++ b/internal/core/planning.go
@@ -5,6 +5,7 @@
 	"slices"
 	"time"
 
+	"roadcleat/internal/model"
 	"roadcleat/internal/plan"
 )
 
@@ -55,7 +56,7 @@
 	for _, id := range sorted(shard.assignments) {
 		assignment := shard.assignments[id]
 		switch {
-		case assignment.job.state != JobPending:
+		case assignment.job.state != model.JobPending:
 			if len(assignment.tasks) == 0 {
 				shard.dirty[id] = assignment
 			}
@@ -107,7 +108,7 @@
 			cost[k] = c.placementCost(job, k)
 		}
 	}
-	return &plan.Step{Tasks: 1, Gang: job.spec.Gang, Need: job.spec.Need.plan(), Comp: c.estimatedRunTime(job), Image: job.image,
+	return &plan.Step{Tasks: 1, Gang: job.spec.Gang, Need: job.spec.Need, Comp: c.estimatedRunTime(job), Image: job.image,
 		ImageGB: job.spec.ImageGB, Allowed: func(kind int) bool { return allowed[kind] },
 		Cost: func(kind int) float64 { return cost[kind] }}
 }
@@ -157,7 +158,7 @@
 	if job.fittingTypes == 0 || job.fittingTypesOf != len(c.types) {
 		job.fittingTypes, job.fittingTypesOf = 0, len(c.types)
 		for t := range c.types {
-			if t < 64 && job.spec.Need.plan().Within(c.types[t].Capacity.plan()) &&
+			if t < 64 && job.spec.Need.FitsIn(c.types[t].Capacity) &&
 				(len(job.spec.Types) == 0 || slices.Contains(job.spec.Types, c.types[t].Name)) {
 				job.fittingTypes |= 1 << t
 			}
@@ -179,7 +180,7 @@
 func (c *Core) hostDevice(host *Host, withoutPreemptible bool) device {
 	t := &c.types[host.typeIndex]
 	now := seconds(c.now)
-	d := &plan.Device{Kind: c.kindIndex(host.shard.zone, host.typeIndex, host.spot), Total: t.Capacity.plan(), Up: now,
+	d := &plan.Device{Kind: c.kindIndex(host.shard.zone, host.typeIndex, host.spot), Total: t.Capacity, Up: now,
 		SPerGB: c.fetchRate(host.typeIndex), Slow: 1, FetchAt: seconds(host.fetchesDoneAt),
 		Images: make([]plan.Held, 0, len(host.images)+len(host.fetching)+1), Uses: make([]plan.Use, 0, len(host.tasks)+4)}
 	if host.state == hostBooting {
@@ -202,19 +203,19 @@
 		if withoutPreemptible && c.preemptible(task) {
 			continue
 		}
-		d.Uses = append(d.Uses, plan.Use{Start: 0, End: seconds(c.expectedEnd(task)), Amount: task.need.plan()})
+		d.Uses = append(d.Uses, plan.Use{Start: 0, End: seconds(c.expectedEnd(task)), Amount: task.need})
 	}
 	return device{d, host.shard.zone, host}
 }
 
 // teamUsage is what a team uses in all parts, as far as known here.
-func (c *Core) teamUsage(team int) Resources {
-	var sum Resources
+func (c *Core) teamUsage(team int) model.Resources {
+	var sum model.Resources
 	for _, shard := range c.shards {
 		if shard.owned && shard.loaded {
-			sum = sum.plus(shard.teamUsage[team], 1)
+			sum = sum.Plus(shard.teamUsage[team])
 		} else if shard.view != nil {
-			sum = sum.plus(shard.view.TeamUsage[c.teamConfigs[team].Name], 1)
+			sum = sum.Plus(shard.view.TeamUsage[c.teamConfigs[team].Name])
 		}
 	}
 	return sum
@@ -226,7 +227,7 @@
 	if !job.spec.Gang {
 		assignment.lastAttempt++
 	}
-	task := &Task{id: TaskID{job.id, i}, assignment: assignment, host: host, attempt: assignment.lastAttempt, phase: taskPlacing,
+	task := &Task{id: model.TaskID{Job: job.id, Index: i}, assignment: assignment, host: host, attempt: assignment.lastAttempt, phase: taskPlacing,
 		need: job.spec.Need, team: job.team, placedAt: c.now, fetchStartedAt: c.now}
 	if host.tasks[task.id] != nil {
 		return // an earlier attempt is still on its way off this host
--- a/internal/core/queues.go
+++ b/internal/core/queues.go
@@ -4,6 +4,7 @@
 	"cmp"
 	"fmt"
 	"math"
+	"roadcleat/internal/model"
 	"slices"
 	"time"
 )
@@ -214,7 +215,7 @@
 	var longest []*Assignment
 	for _, id := range sorted(shard.assignments) {
 		assignment := shard.assignments[id]
-		if assignment.job.state != JobPending || !which(assignment.job) {
+		if assignment.job.state != model.JobPending || !which(assignment.job) {
 			continue
 		}
 		of := [2]int{assignment.job.class, assignment.job.team}
--- a/internal/core/quota.go
+++ b/internal/core/quota.go
@@ -4,6 +4,7 @@
 	"encoding/json"
 	"maps"
 	"math"
+	"roadcleat/internal/model"
 	"time"
 )
 
@@ -159,21 +160,21 @@
 	})
 }
 
-// limits says whether a team's limit concerns tasks of need at all. What it does
-// not concern needs no grants.
-func (limit Resources) limits(need Resources) bool {
+// limitConcerns reports whether a team's limit concerns tasks of this need at all. What it
+// does not concern needs no grants.
+func limitConcerns(limit, need model.Resources) bool {
 	return need.Cores > 0 && limit.Cores > 0 || need.GPUs > 0 && limit.GPUs > 0
 }
 
-// within says whether use keeps to a grant, as far as the limit concerns it.
-func (limit Resources) within(used Resources, g grant) bool {
+// withinGrant reports whether use keeps to a grant, as far as the limit concerns it.
+func withinGrant(limit, used model.Resources, g grant) bool {
 	return (limit.Cores == 0 || used.Cores <= g.Cores+1e-6) && (limit.GPUs == 0 || used.GPUs <= g.GPUs+1e-6)
 }
 
 // teamRoom is how many more tasks of need the team may run in the part: within
 // the part's grant and what nobody holds.
-func (c *Core) teamRoom(shard *Shard, team int, need Resources) int {
-	if q := c.quotas[team]; c.teamConfigs[team].Limit.limits(need) && (!q.known || q.mustReread) {
+func (c *Core) teamRoom(shard *Shard, team int, need model.Resources) int {
+	if q := c.quotas[team]; limitConcerns(c.teamConfigs[team].Limit, need) && (!q.known || q.mustReread) {
 		c.readQuota(q)
 	}
 	return c.knownTeamRoom(shard, team, need)
@@ -181,10 +182,10 @@
 
 // knownTeamRoom is the same for operators' questions, which must not change anything: what
 // they ask of the outside is never carried out, and would be waited for for ever.
-func (c *Core) knownTeamRoom(shard *Shard, team int, need Resources) int {
+func (c *Core) knownTeamRoom(shard *Shard, team int, need model.Resources) int {
 	quota, limit := c.quotas[team], c.teamConfigs[team].Limit
 	n := math.MaxInt32
-	if !limit.limits(need) {
+	if !limitConcerns(limit, need) {
 		return n
 	}
 	if !quota.known || quota.mustReread {
@@ -206,7 +207,7 @@
 	quota, limit := c.quotas[team], c.teamConfigs[team].Limit
 	mine, used, sum := quota.grants[shard.name], shard.teamUsage[team], quota.sum()
 	sure := quota.reliableGrant(shard.name)
-	if limit.within(used, sure) {
+	if withinGrant(limit, used, sure) {
 		return nil, false
 	}
 	want := mine
@@ -225,7 +226,7 @@
 // fits into its grant, or will once the grant has grown.
 func (c *Core) fitsGrant(shard *Shard, team int, txn *pendingTxn) bool {
 	quota, used, limit := c.quotas[team], shard.teamUsage[team], c.teamConfigs[team].Limit
-	if limit == (Resources{}) {
+	if limit == (model.Resources{}) {
 		return true
 	}
 	if !quota.known || quota.mustReread {
@@ -237,14 +238,14 @@
 			return true
 		}
 	}
-	return limit.within(used, g[shard.name])
+	return withinGrant(limit, used, g[shard.name])
 }
 
 // releaseGrant returns the part's idle grant of a team: at once when another part
 // asks for it, otherwise after it has been idle for a while.
 func (c *Core) releaseGrant(shard *Shard, team int, now bool) bool {
 	quota := c.quotas[team]
-	if c.teamConfigs[team].Limit == (Resources{}) {
+	if c.teamConfigs[team].Limit == (model.Resources{}) {
 		return false // there are no grants
 	}
 	if !quota.known || quota.mustReread {
--- a/internal/core/ranking.go
+++ b/internal/core/ranking.go
@@ -2,6 +2,7 @@
 
 import (
 	"cmp"
+	"roadcleat/internal/model"
 	"slices"
 	"time"
 )
@@ -27,7 +28,7 @@
 func (c *Core) readyAssignments(shard *Shard) []*Assignment {
 	var list []*Assignment
 	for _, assignment := range shard.assignments {
-		if len(assignment.waiting) > 0 && assignment.job.state == JobPending && assignment.job.team >= 0 {
+		if len(assignment.waiting) > 0 && assignment.job.state == model.JobPending && assignment.job.team >= 0 {
 			list = append(list, assignment)
 		}
 	}
--- a/internal/core/reports.go
+++ b/internal/core/reports.go
@@ -1,6 +1,9 @@
 package core
 
-import "time"
+import (
+	"roadcleat/internal/model"
+	"time"
+)
 
 // maxUnansweredCalls is how many calls in a row may stay without an answer, though the
 // machine's reports come, before it is taken for deaf.
@@ -113,7 +116,7 @@
 				// The launch may still come. Once the worker knows the attempt, it
 				// has no effect any more. While the job lives that costs a start
 				// at most; after a withdrawal see launchMayCome.
-				if task.assignment != nil && task.assignment.job.state == JobPending && c.mayStartTasks() {
+				if task.assignment != nil && task.assignment.job.state == model.JobPending && c.mayStartTasks() {
 					out = append(out, Command{Verb: VerbLaunch, Task: id, Attempt: task.attempt})
 				}
 			}
@@ -143,7 +146,7 @@
 // token can't be raised, as when the state service is out, it must not be answered.
 func (c *Core) cancelledLaunchInFlight(shard *Shard, host *Host) bool {
 	for k, l := range host.launchesInFlight {
-		if c.finished[k.task.Job] == JobCancelled && l.token == shard.token && host.reported[k.task].Attempt != k.attempt {
+		if c.finished[k.task.Job] == model.JobCancelled && l.token == shard.token && host.reported[k.task].Attempt != k.attempt {
 			return true
 		}
 	}
@@ -155,7 +158,7 @@
 func (c *Core) stopsOfCancelled(host *Host) []Command {
 	var out []Command
 	for _, id := range sortedTasks(host.reported) {
-		if r := host.reported[id]; c.finished[id.Job] == JobCancelled && r.State != TaskExited {
+		if r := host.reported[id]; c.finished[id.Job] == model.JobCancelled && r.State != TaskExited {
 			out = append(out, Command{Verb: VerbStop, Task: id, Attempt: r.Attempt})
 		}
 	}
@@ -170,7 +173,7 @@
 		return false
 	}
 	assignment := shard.assignments[r.Task.Job]
-	if assignment == nil || assignment.job.state != JobPending {
+	if assignment == nil || assignment.job.state != model.JobPending {
 		return true
 	}
 	o, pending := assignment.unrecordedExits[r.Task.Index]
@@ -312,7 +315,7 @@
 // that was given up; the result is kept, so the task is done either way.
 func (c *Core) recordCompletion(shard *Shard, _ *Host, r TaskStatus) {
 	assignment := shard.assignments[r.Task.Job]
-	if assignment == nil || assignment.job.state != JobPending || assignment.job.spec.Service {
+	if assignment == nil || assignment.job.state != model.JobPending || assignment.job.spec.Service {
 		return
 	}
 	i := r.Task.Index
--- a/internal/core/slices.go
+++ b/internal/core/slices.go
@@ -4,6 +4,7 @@
 	"cmp"
 	"encoding/json"
 	"maps"
+	"roadcleat/internal/model"
 	"slices"
 	"strings"
 	"time"
@@ -96,7 +97,7 @@
 	assignment := &Assignment{job: job, tasks: map[int]*Task{}, unrecordedExits: map[int]taskExit{}, missingSince: job.knownSince}
 	shard.assignments[id] = assignment
 	c.reconcile(shard, assignment, value, revision)
-	if job.state != JobPending {
+	if job.state != model.JobPending {
 		c.windDownAssignment(shard, assignment)
 	}
 }
@@ -167,7 +168,7 @@
 			continue
 		}
 		host := c.hostByName(shard, pl.Host)
-		task := &Task{id: TaskID{assignment.job.id, pl.Index}, assignment: assignment, host: host, attempt: pl.Attempt, phase: taskPlaced,
+		task := &Task{id: model.TaskID{Job: assignment.job.id, Index: pl.Index}, assignment: assignment, host: host, attempt: pl.Attempt, phase: taskPlaced,
 			inherited: true, need: assignment.job.spec.Need, team: assignment.job.team, placedAt: c.now}
 		if other := host.tasks[task.id]; other != nil {
 			// A worker holds one attempt of a task at most; what is there of an
@@ -273,7 +274,7 @@
 					delete(assignment.unrecordedExits, i)
 				}
 			}
-			if assignment.complete() && len(assignment.unrecordedExits) == 0 && assignment.job.state == JobPending {
+			if assignment.complete() && len(assignment.unrecordedExits) == 0 && assignment.job.state == model.JobPending {
 				shard.dirty[id] = assignment
 			}
 		}
@@ -284,7 +285,7 @@
 		}
 		for _, job := range txn.doneJobs {
 			c.info("job done", "job", job.id, "part", shard.name, "token", shard.token)
-			c.finishJob(job.id, JobDone)
+			c.finishJob(job.id, model.JobDone)
 		}
 		for _, id := range txn.droppedJobs {
 			delete(shard.assignments, id)
@@ -487,7 +488,7 @@
 func (c *Core) appendAssignment(shard *Shard, txn *pendingTxn, id string, assignment *Assignment) int {
 	key := assignmentKey(shard.name, id)
 	guard := func() { txn.txn.Conditions = append(txn.txn.Conditions, Condition{key, assignment.revision}) }
-	if assignment.job.state != JobPending {
+	if assignment.job.state != model.JobPending {
 		// No transaction is under way, so what is only planned will never be
 		// placed. Left booked, it would hold room and the team's grant for ever.
 		for _, i := range sorted(assignment.tasks) {
@@ -581,7 +582,7 @@
 	for _, f := range shard.completions {
 		assignment := f.assignment
 		job := assignment.job
-		if shard.assignments[job.id] != assignment || job.state != JobPending || job.revision != f.jobRevision || !assignment.complete() || len(assignment.unrecordedExits) > 0 {
+		if shard.assignments[job.id] != assignment || job.state != model.JobPending || job.revision != f.jobRevision || !assignment.complete() || len(assignment.unrecordedExits) > 0 {
 			assignment.completing, assignment.nextCompletionCheckAt = false, 0
 			continue
 		}
@@ -614,7 +615,7 @@
 		}
 		c.applyJobRecord(id, jobResult.Item.Value, jobResult.Item.Revision)
 		job := assignment.job
-		if job.state != JobPending || job.revision != jobResult.Item.Revision || !assignment.complete() {
+		if job.state != model.JobPending || job.revision != jobResult.Item.Revision || !assignment.complete() {
 			return
 		}
 		f := &completion{assignment: assignment, jobRevision: job.revision}
--- a/internal/core/status.go
+++ b/internal/core/status.go
@@ -1,6 +1,9 @@
 package core
 
-import "time"
+import (
+	"roadcleat/internal/model"
+	"time"
+)
 
 // Status is what operators are shown of a controller. It is a copy: reading it
 // costs the owner goroutine one short walk and the state service nothing.
@@ -123,7 +126,7 @@
 			ps.addHosts(typ, host.spot, host.stateName(c.now), 1)
 		}
 		for _, assignment := range shard.assignments {
-			if assignment.job.state != JobPending {
+			if assignment.job.state != model.JobPending {
 				continue
 			}
 			ps.Jobs++
--- a/internal/core/values_test.go
+++ b/internal/core/values_test.go
@@ -4,6 +4,7 @@
 	"encoding/json"
 	"fmt"
 	"math/rand/v2"
+	"roadcleat/internal/model"
 	"testing"
 
 	"github.com/stretchr/testify/assert"
@@ -14,7 +15,7 @@
 // job with a slice in its only part.
 func coreWithValueLimit(bytes, tasks int) (*Core, *Assignment) {
 	c := New(Config{Label: "n", Zones: []string{"a", "b", "c"}, MaxValueBytes: bytes})
-	job := c.newJob("job-1", JobSpec{Class: "work", Team: "red", Tasks: tasks, Need: Resources{Cores: 2}}, 7)
+	job := c.newJob("job-1", model.JobSpec{Class: "work", Team: "red", Tasks: tasks, Need: model.Resources{Cores: 2}}, 7)
 	job.split = map[string]taskRanges{"a": {{0, tasks}}}
 	return c, &Assignment{job: job, waiting: taskRanges{{0, tasks}}, tasks: map[int]*Task{}}
 }
@@ -37,7 +38,7 @@
 				}
 				assignment.lastAttempt++
 				assignment.waiting.remove(i)
-				assignment.tasks[i] = &Task{id: TaskID{"job-1", i}, assignment: assignment, host: host, attempt: assignment.lastAttempt}
+				assignment.tasks[i] = &Task{id: model.TaskID{Job: "job-1", Index: i}, assignment: assignment, host: host, attempt: assignment.lastAttempt}
 			}
 			hosts += 1 + n/perHost
 			most = max(most, len(assignment.tasks))
--- a/internal/core/workers.go
+++ b/internal/core/workers.go
@@ -1,6 +1,9 @@
 package core
 
-import "fmt"
+import (
+	"fmt"
+	"roadcleat/internal/model"
+)
 
 // TaskState is the state of a task on a machine, as its worker reports it. The zero value
 // means that the worker has not reported the task yet.
@@ -69,7 +72,7 @@
 
 // TaskStatus is one task in a worker's status.
 type TaskStatus struct {
-	Task    TaskID
+	Task    model.TaskID
 	Attempt uint64
 	State   TaskState
 	Cause   ExitCause // of a task that has exited
@@ -116,7 +119,7 @@
 // Command is a command to a worker.
 type Command struct {
 	Verb        Verb
-	Task        TaskID
+	Task        model.TaskID
 	Attempt     uint64
 	GracePeriod float64 // seconds that a task gets to save when it is stopped
 }
--- a/internal/fake/disk.go
+++ b/internal/fake/disk.go
@@ -5,6 +5,7 @@
 	"time"
 
 	"roadcleat/internal/core"
+	"roadcleat/internal/model"
 )
 
 // disk holds a machine's images: the most recently used ones that its cache has
@@ -35,17 +36,17 @@
 }
 
 // kind is the machine's type.
-func (k *Worker) kind() core.MachineType {
-	i := slices.IndexFunc(k.w.Cloud.Types, func(m core.MachineType) bool { return m.Name == k.typ })
+func (k *Worker) kind() model.MachineType {
+	i := slices.IndexFunc(k.w.Cloud.Types, func(m model.MachineType) bool { return m.Name == k.typ })
 	if i < 0 {
-		return core.MachineType{Name: k.typ}
+		return model.MachineType{Name: k.typ}
 	}
 	return k.w.Cloud.Types[i]
 }
 
 // used is what the machine's tasks take of it, one of them left aside.
-func (k *Worker) used(but *running) core.Resources {
-	var sum core.Resources
+func (k *Worker) used(but *running) model.Resources {
+	var sum model.Resources
 	for _, x := range k.tasks {
 		if job := k.w.Jobs[x.id.Job]; x != but && x.state != core.TaskExited && job != nil {
 			sum = plus(sum, job.Spec.Need)
@@ -55,15 +56,15 @@
 }
 
 // holds says whether the machine has room for so much more, one task left aside.
-func (k *Worker) holds(need core.Resources, but *running) bool {
+func (k *Worker) holds(need model.Resources, but *running) bool {
 	return within(plus(k.used(but), need), k.kind().Capacity)
 }
 
-func plus(a, b core.Resources) core.Resources {
-	return core.Resources{Cores: a.Cores + b.Cores, GPUs: a.GPUs + b.GPUs, MemoryGB: a.MemoryGB + b.MemoryGB}
+func plus(a, b model.Resources) model.Resources {
+	return model.Resources{Cores: a.Cores + b.Cores, GPUs: a.GPUs + b.GPUs, MemoryGB: a.MemoryGB + b.MemoryGB}
 }
 
-func within(a, total core.Resources) bool {
+func within(a, total model.Resources) bool {
 	const hair = 1e-6
 	return a.Cores <= total.Cores+hair && a.GPUs <= total.GPUs+hair && a.MemoryGB <= total.MemoryGB+hair
 }
--- a/internal/fake/fleet_test.go
+++ b/internal/fake/fleet_test.go
@@ -2,14 +2,13 @@
 
 import (
 	"fmt"
+	"roadcleat/internal/model"
 	"runtime"
 	"testing"
 	"time"
 
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
-
-	"roadcleat/internal/core"
 )
 
 // fleet is a world in which so many machines run long tasks, four each, in three zones
@@ -18,10 +17,10 @@
 	cfg := Settings()
 	cfg.HeartbeatInterval, cfg.WorkerLease, cfg.CancelWithin, cfg.ListLag = 6*time.Second, 36*time.Second, 66*time.Second, 6*time.Second
 	for i := range cfg.Teams {
-		cfg.Teams[i].Guarantee, cfg.Teams[i].Limit = core.Resources{Cores: 1e6}, core.Resources{}
+		cfg.Teams[i].Guarantee, cfg.Teams[i].Limit = model.Resources{Cores: 1e6}, model.Resources{}
 	}
 	w := New(3, cfg)
-	w.Cloud.Types = []core.MachineType{{Name: "large", Capacity: core.Resources{Cores: 16, MemoryGB: 64}, CacheGB: 50, FetchGBPerSecond: 1,
+	w.Cloud.Types = []model.MachineType{{Name: "large", Capacity: model.Resources{Cores: 16, MemoryGB: 64}, CacheGB: 50, FetchGBPerSecond: 1,
 		Price: 1, SpotPrice: 0.4, BootSeconds: 20, Zones: cfg.Zones}}
 	w.Cloud.BootS = func(string) float64 { return 20 }
 	w.Cloud.Room = map[string]int{}
--- a/internal/fake/gpu_test.go
+++ b/internal/fake/gpu_test.go
@@ -9,6 +9,7 @@
 	"github.com/stretchr/testify/require"
 
 	"roadcleat/internal/core"
+	"roadcleat/internal/model"
 )
 
 // gpuDay is a world of machines with eight cards that boot and fetch slowly and report
@@ -16,10 +17,10 @@
 // kind.
 func gpuDay(t *testing.T, seed uint64, boot time.Duration, room int) *World {
 	cfg := Settings()
-	cfg.Teams = []core.Team{{Name: "flow", Guarantee: core.Resources{GPUs: 600}, Limit: core.Resources{GPUs: 2000}}}
+	cfg.Teams = []core.Team{{Name: "flow", Guarantee: model.Resources{GPUs: 600}, Limit: model.Resources{GPUs: 2000}}}
 	cfg.HeartbeatInterval, cfg.WorkerLease, cfg.CancelWithin = 8*time.Second, 38*time.Second, 58*time.Second
 	w := NewWith(seed, cfg, "a", "a", "a")
-	w.Cloud.Types = []core.MachineType{{Name: "cards", Capacity: core.Resources{Cores: 96, GPUs: 8, MemoryGB: 768}, CacheGB: 120,
+	w.Cloud.Types = []model.MachineType{{Name: "cards", Capacity: model.Resources{Cores: 96, GPUs: 8, MemoryGB: 768}, CacheGB: 120,
 		FetchGBPerSecond: 0.5, Price: 27, SpotPrice: 6.5, BootSeconds: boot.Seconds(), Zones: cfg.Zones}}
 	w.Cloud.BootS = func(string) float64 { return boot.Seconds() }
 	for _, z := range cfg.Zones {
@@ -34,14 +35,14 @@
 }
 
 // sweep is an array of tasks with a card each.
-func sweep(id string, tasks int, estimate float64) core.JobSpec {
-	return core.JobSpec{ID: id, Class: "sweep", Team: "flow", Priority: 2, Tasks: tasks, Need: core.Resources{Cores: 10, GPUs: 1, MemoryGB: 72},
+func sweep(id string, tasks int, estimate float64) model.JobSpec {
+	return model.JobSpec{ID: id, Class: "sweep", Team: "flow", Priority: 2, Tasks: tasks, Need: model.Resources{Cores: 10, GPUs: 1, MemoryGB: 72},
 		Spot: true, Image: "img", ImageGB: 1, EstimateSeconds: estimate}
 }
 
 // liveService is replicas with a card each that must be apart, on ordinary machines.
-func liveService(id string, tasks int) core.JobSpec {
-	return core.JobSpec{ID: id, Class: "live", Team: "flow", Priority: 0, Service: true, Tasks: tasks, Need: core.Resources{Cores: 8, GPUs: 1, MemoryGB: 58},
+func liveService(id string, tasks int) model.JobSpec {
+	return model.JobSpec{ID: id, Class: "live", Team: "flow", Priority: 0, Service: true, Tasks: tasks, Need: model.Resources{Cores: 8, GPUs: 1, MemoryGB: 58},
 		SpreadZones: true, Image: "svc", ImageGB: 1}
 }
 
--- a/internal/fake/input_test.go
+++ b/internal/fake/input_test.go
@@ -10,13 +10,14 @@
 	"github.com/stretchr/testify/require"
 
 	"roadcleat/internal/core"
+	"roadcleat/internal/model"
 )
 
 // inputDay has two teams, of which the small one's limit is below a large machine, a
 // team without limits, and a type that one zone has alone.
 func inputDay(t *testing.T, seed uint64) *World {
 	cfg := Settings()
-	cfg.Teams = append(cfg.Teams, core.Team{Name: "tiny", Limit: core.Resources{Cores: 6}}, core.Team{Name: "free"})
+	cfg.Teams = append(cfg.Teams, core.Team{Name: "tiny", Limit: model.Resources{Cores: 6}}, core.Team{Name: "free"})
 	w := New(seed, cfg)
 	w.Cloud.Types[1].Zones = []string{"b"}
 	w.Run(3 * time.Second)
@@ -24,53 +25,53 @@
 	return w
 }
 
-var impossible = map[string]func(s *core.JobSpec){
-	"unknown team":                 func(s *core.JobSpec) { s.Team = "green" },
-	"cores of no machine":          func(s *core.JobSpec) { s.Need.Cores, s.Team = 16.5, "red" },
-	"absurd cores":                 func(s *core.JobSpec) { s.Need.Cores, s.Team = 1e9, "free" },
-	"memory of no machine":         func(s *core.JobSpec) { s.Need.MemoryGB = 65 },
-	"cards of no machine":          func(s *core.JobSpec) { s.Need.GPUs = 1 },
-	"a fraction of a card":         func(s *core.JobSpec) { s.Need.GPUs = 0.001 },
-	"memory with too few cores":    func(s *core.JobSpec) { s.Need.MemoryGB, s.Types = 17, []string{"small"} },
-	"unknown type":                 func(s *core.JobSpec) { s.Types = []string{"huge"} },
-	"unknown zone":                 func(s *core.JobSpec) { s.Zone = "q" },
-	"a type that the zone has not": func(s *core.JobSpec) { s.Types, s.Zone = []string{"large"}, "a" },
-	"size that the zone has not":   func(s *core.JobSpec) { s.Need.Cores, s.Zone = 8, "a" },
-	"apart in one zone":            func(s *core.JobSpec) { s.Zone, s.SpreadZones = "a", true },
-	"apart and in one zone":        func(s *core.JobSpec) { s.OneZone, s.SpreadZones = true, true },
-	"apart on one zone's type":     func(s *core.JobSpec) { s.Types, s.SpreadZones = []string{"large"}, true },
-	"apart and too large":          func(s *core.JobSpec) { s.Need.Cores, s.SpreadZones = 8, true },
-	"a task over the limit":        func(s *core.JobSpec) { s.Team, s.Need.Cores = "tiny", 6.5 },
-	"a service over the limit":     func(s *core.JobSpec) { s.Service, s.Tasks, s.Need.Cores = true, 11, 4 },
-	"a gang over the limit":        func(s *core.JobSpec) { s.Gang, s.Tasks, s.Need.Cores = true, 11, 4 },
-	"a name too long to be kept":   func(s *core.JobSpec) { s.Image = strings.Repeat("x", 5000) },
+var impossible = map[string]func(s *model.JobSpec){
+	"unknown team":                 func(s *model.JobSpec) { s.Team = "green" },
+	"cores of no machine":          func(s *model.JobSpec) { s.Need.Cores, s.Team = 16.5, "red" },
+	"absurd cores":                 func(s *model.JobSpec) { s.Need.Cores, s.Team = 1e9, "free" },
+	"memory of no machine":         func(s *model.JobSpec) { s.Need.MemoryGB = 65 },
+	"cards of no machine":          func(s *model.JobSpec) { s.Need.GPUs = 1 },
+	"a fraction of a card":         func(s *model.JobSpec) { s.Need.GPUs = 0.001 },
+	"memory with too few cores":    func(s *model.JobSpec) { s.Need.MemoryGB, s.Types = 17, []string{"small"} },
+	"unknown type":                 func(s *model.JobSpec) { s.Types = []string{"huge"} },
+	"unknown zone":                 func(s *model.JobSpec) { s.Zone = "q" },
+	"a type that the zone has not": func(s *model.JobSpec) { s.Types, s.Zone = []string{"large"}, "a" },
+	"size that the zone has not":   func(s *model.JobSpec) { s.Need.Cores, s.Zone = 8, "a" },
+	"apart in one zone":            func(s *model.JobSpec) { s.Zone, s.SpreadZones = "a", true },
+	"apart and in one zone":        func(s *model.JobSpec) { s.OneZone, s.SpreadZones = true, true },
+	"apart on one zone's type":     func(s *model.JobSpec) { s.Types, s.SpreadZones = []string{"large"}, true },
+	"apart and too large":          func(s *model.JobSpec) { s.Need.Cores, s.SpreadZones = 8, true },
+	"a task over the limit":        func(s *model.JobSpec) { s.Team, s.Need.Cores = "tiny", 6.5 },
+	"a service over the limit":     func(s *model.JobSpec) { s.Service, s.Tasks, s.Need.Cores = true, 11, 4 },
+	"a gang over the limit":        func(s *model.JobSpec) { s.Gang, s.Tasks, s.Need.Cores = true, 11, 4 },
+	"a name too long to be kept":   func(s *model.JobSpec) { s.Image = strings.Repeat("x", 5000) },
 }
 
-var possible = map[string]func(s *core.JobSpec){
-	"apart, of one":               func(s *core.JobSpec) { s.Tasks, s.SpreadZones, s.Zone = 1, true, "a" },
-	"apart and in one zone of 1":  func(s *core.JobSpec) { s.Tasks, s.SpreadZones, s.OneZone = 1, true, true },
-	"apart on types of two zones": func(s *core.JobSpec) { s.Types, s.SpreadZones = []string{"large", "small"}, true },
-	"unknown types beside one":    func(s *core.JobSpec) { s.Types = []string{"huge", "small"} },
-	"in one zone of its own":      func(s *core.JobSpec) { s.OneZone, s.Zone = true, "c" },
-	"an array over the limit":     func(s *core.JobSpec) { s.Tasks, s.Need.Cores = 12, 4 },
-	"a task as large as any":      func(s *core.JobSpec) { s.Team, s.Need = "free", core.Resources{Cores: 16, MemoryGB: 64} },
-	"a task as large as the team": func(s *core.JobSpec) { s.Team, s.Need.Cores = "tiny", 6 },
-	"a gang as large as the team": func(s *core.JobSpec) { s.Team, s.Gang, s.Need.Cores = "tiny", true, 3 },
-	"no cores":                    func(s *core.JobSpec) { s.Need.Cores = 0 },
-	"nothing needed":              func(s *core.JobSpec) { s.Need = core.Resources{} },
-	"nothing needed, free":        func(s *core.JobSpec) { s.Team, s.Priority, s.Need = "free", 3, core.Resources{} },
-	"hardly anything needed":      func(s *core.JobSpec) { s.Need = core.Resources{Cores: 1e-300, MemoryGB: 1e-300} },
-	"hardly anything, free":       func(s *core.JobSpec) { s.Team, s.Priority, s.Need.Cores = "free", 3, 1e-300 },
-	"estimate of a lifetime":      func(s *core.JobSpec) { s.EstimateSeconds, s.DeadlineSeconds = 1e9, 1e9 },
-	"no estimate, due at once":    func(s *core.JobSpec) { s.EstimateSeconds, s.DeadlineSeconds = 0, 1e-9 },
-	"saves for ever":              func(s *core.JobSpec) { s.CheckpointSeconds, s.SaveSeconds = 1e9, 1e9 },
-	"no names":                    func(s *core.JobSpec) { s.Class, s.Image, s.ImageGB = "", "", 0 },
+var possible = map[string]func(s *model.JobSpec){
+	"apart, of one":               func(s *model.JobSpec) { s.Tasks, s.SpreadZones, s.Zone = 1, true, "a" },
+	"apart and in one zone of 1":  func(s *model.JobSpec) { s.Tasks, s.SpreadZones, s.OneZone = 1, true, true },
+	"apart on types of two zones": func(s *model.JobSpec) { s.Types, s.SpreadZones = []string{"large", "small"}, true },
+	"unknown types beside one":    func(s *model.JobSpec) { s.Types = []string{"huge", "small"} },
+	"in one zone of its own":      func(s *model.JobSpec) { s.OneZone, s.Zone = true, "c" },
+	"an array over the limit":     func(s *model.JobSpec) { s.Tasks, s.Need.Cores = 12, 4 },
+	"a task as large as any":      func(s *model.JobSpec) { s.Team, s.Need = "free", model.Resources{Cores: 16, MemoryGB: 64} },
+	"a task as large as the team": func(s *model.JobSpec) { s.Team, s.Need.Cores = "tiny", 6 },
+	"a gang as large as the team": func(s *model.JobSpec) { s.Team, s.Gang, s.Need.Cores = "tiny", true, 3 },
+	"no cores":                    func(s *model.JobSpec) { s.Need.Cores = 0 },
+	"nothing needed":              func(s *model.JobSpec) { s.Need = model.Resources{} },
+	"nothing needed, free":        func(s *model.JobSpec) { s.Team, s.Priority, s.Need = "free", 3, model.Resources{} },
+	"hardly anything needed":      func(s *model.JobSpec) { s.Need = model.Resources{Cores: 1e-300, MemoryGB: 1e-300} },
+	"hardly anything, free":       func(s *model.JobSpec) { s.Team, s.Priority, s.Need.Cores = "free", 3, 1e-300 },
+	"estimate of a lifetime":      func(s *model.JobSpec) { s.EstimateSeconds, s.DeadlineSeconds = 1e9, 1e9 },
+	"no estimate, due at once":    func(s *model.JobSpec) { s.EstimateSeconds, s.DeadlineSeconds = 0, 1e-9 },
+	"saves for ever":              func(s *model.JobSpec) { s.CheckpointSeconds, s.SaveSeconds = 1e9, 1e9 },
+	"no names":                    func(s *model.JobSpec) { s.Class, s.Image, s.ImageGB = "", "", 0 },
 }
 
 func TestWhatCanNeverRunIsRefusedAndWhatCanRunIsNot(t *testing.T) {
 	w := inputDay(t, 150)
 	n := 0
-	next := func(change func(s *core.JobSpec)) core.JobSpec {
+	next := func(change func(s *model.JobSpec)) model.JobSpec {
 		n++
 		s := spec(fmt.Sprintf("job-%d", n), "red", 2, 1)
 		change(&s)
--- a/internal/fake/leader_changes_test.go
+++ b/internal/fake/leader_changes_test.go
@@ -12,11 +12,12 @@
 	"github.com/stretchr/testify/require"
 
 	"roadcleat/internal/core"
+	"roadcleat/internal/model"
 )
 
 // launched counts the launches of each task that were sent, in whatever way.
-func launched(w *World) map[core.TaskID]int {
-	n := map[core.TaskID]int{}
+func launched(w *World) map[model.TaskID]int {
+	n := map[model.TaskID]int{}
 	w.DelayOnWire = func(_ *Worker, what any) time.Duration {
 		var commands []core.Command
 		switch m := what.(type) {
@@ -53,7 +54,7 @@
 		require.NotContains(t, v, `"d":`, "the end is not written down")
 		w.Nodes[0].Restart([]time.Duration{5 * time.Second, 20 * time.Second}[min(len(zones)-1, 1)])
 		ends(t, w, job, 90*time.Second)
-		assert.Equal(t, core.JobDone, job.Told)
+		assert.Equal(t, model.JobDone, job.Told)
 		assert.Equal(t, 3, job.Starts)
 		assert.Len(t, n, 3)
 		for id, n := range n {
--- a/internal/fake/left_test.go
+++ b/internal/fake/left_test.go
@@ -8,11 +8,12 @@
 	"github.com/stretchr/testify/require"
 
 	"roadcleat/internal/core"
+	"roadcleat/internal/model"
 )
 
 func TestRoomThatUrgentWorkCannotUseIsNotLeftToItForEver(t *testing.T) {
 	cfg := Settings()
-	cfg.Teams[1] = core.Team{Name: "blue", Guarantee: core.Resources{Cores: 4}, Limit: core.Resources{Cores: 8}}
+	cfg.Teams[1] = core.Team{Name: "blue", Guarantee: model.Resources{Cores: 4}, Limit: model.Resources{Cores: 8}}
 	w := New(71, cfg)
 	t.Cleanup(func() { assert.Empty(t, w.Referee.Broken, "rules") })
 	w.Run(3 * time.Second)
--- a/internal/fake/lost_machines_test.go
+++ b/internal/fake/lost_machines_test.go
@@ -12,19 +12,20 @@
 	"github.com/stretchr/testify/require"
 
 	"roadcleat/internal/core"
+	"roadcleat/internal/model"
 )
 
 func TestWorkBoundToPlacesStaysThereWhenItsMachinesAreLost(t *testing.T) {
 	// A zone loses its machines and has no others for a while; the other zones have
 	// plenty. What is bound waits, what is not goes there.
-	bound := map[string]func(*core.JobSpec){
-		"zone":     func(s *core.JobSpec) { s.Zone = "a" },
-		"array":    func(s *core.JobSpec) { s.Zone, s.Tasks = "a", 7 },
-		"one zone": func(s *core.JobSpec) { s.OneZone = true },
-		"apart":    func(s *core.JobSpec) { s.SpreadZones = true },
-		"gang":     func(s *core.JobSpec) { s.Gang = true },
-		"service":  func(s *core.JobSpec) { s.Zone, s.Service = "a", true },
-		"free":     func(*core.JobSpec) {},
+	bound := map[string]func(*model.JobSpec){
+		"zone":     func(s *model.JobSpec) { s.Zone = "a" },
+		"array":    func(s *model.JobSpec) { s.Zone, s.Tasks = "a", 7 },
+		"one zone": func(s *model.JobSpec) { s.OneZone = true },
+		"apart":    func(s *model.JobSpec) { s.SpreadZones = true },
+		"gang":     func(s *model.JobSpec) { s.Gang = true },
+		"service":  func(s *model.JobSpec) { s.Zone, s.Service = "a", true },
+		"free":     func(*model.JobSpec) {},
 	}
 	for _, name := range slices.Sorted(maps.Keys(bound)) {
 		t.Run(name, func(t *testing.T) {
@@ -92,7 +93,7 @@
 	// Its lease runs out although it is told, and answers, all the time. Work that a
 	// command starts in the session after has a lease of its own.
 	w := idleMachines(t, 113, 1, "a")
-	large := func(id string, tasks int) core.JobSpec {
+	large := func(id string, tasks int) model.JobSpec {
 		s := plain(id, tasks)
 		s.Types = []string{"large"}
 		return s
@@ -182,7 +183,7 @@
 	// saves fills all machines there are; then others keep coming, urgent and not. The
 	// referee sees what is left waiting beside free room.
 	cfg := Settings()
-	cfg.Teams[0].Limit, cfg.Teams[1].Limit = core.Resources{Cores: 400}, core.Resources{Cores: 400}
+	cfg.Teams[0].Limit, cfg.Teams[1].Limit = model.Resources{Cores: 400}, model.Resources{Cores: 400}
 	w := New(119, cfg)
 	t.Cleanup(func() { assert.Empty(t, w.Referee.Broken, "rules") })
 	for k := range w.Cloud.Room {
--- a/internal/fake/many_jobs_test.go
+++ b/internal/fake/many_jobs_test.go
@@ -11,6 +11,7 @@
 	"github.com/stretchr/testify/require"
 
 	"roadcleat/internal/core"
+	"roadcleat/internal/model"
 )
 
 // tables counts the entries of all a controller remembers, by where they are: the maps
@@ -89,13 +90,13 @@
 			}
 		}
 	}
-	ended := map[core.JobState]int{}
+	ended := map[model.JobState]int{}
 	for _, j := range jobs {
 		ends(t, w, j, 2*time.Minute)
 		ended[j.Told]++
 	}
-	assert.Greater(t, ended[core.JobCancelled], len(jobs)/6, "a quarter is cancelled, some too late")
-	assert.Greater(t, ended[core.JobDone], len(jobs)/2)
+	assert.Greater(t, ended[model.JobCancelled], len(jobs)/6, "a quarter is cancelled, some too late")
+	assert.Greater(t, ended[model.JobDone], len(jobs)/2)
 	require.True(t, w.Until(3*time.Minute, allGone(w)))
 	w.Run(w.Cfg.CancelWithin + 20*time.Second)
 	for i, node := range w.Nodes {
--- a/internal/fake/meet_accept_test.go
+++ b/internal/fake/meet_accept_test.go
@@ -10,6 +10,7 @@
 	"github.com/stretchr/testify/require"
 
 	"roadcleat/internal/core"
+	"roadcleat/internal/model"
 )
 
 // placedIn reads which tasks a slice's value has on machines, in either of its forms.
@@ -31,7 +32,7 @@
 func small(t *testing.T, seed uint64, bytes int) *World {
 	w := oneController(t, seed, func(c *core.Config) {
 		c.MaxValueBytes = bytes
-		c.Teams[0].Limit = core.Resources{Cores: 400}
+		c.Teams[0].Limit = model.Resources{Cores: 400}
 	})
 	for k := range w.Cloud.Room {
 		w.Cloud.Room[k] = 20
--- a/internal/fake/meet_answers_test.go
+++ b/internal/fake/meet_answers_test.go
@@ -8,6 +8,7 @@
 	"github.com/stretchr/testify/require"
 
 	"roadcleat/internal/core"
+	"roadcleat/internal/model"
 )
 
 // The acceptance is carried out at once; its answer takes its time. Meanwhile another
@@ -27,10 +28,10 @@
 	require.True(t, w.Until(time.Second, func() bool { return w.Store.rows["job/job-1"].revision > 0 }), "it is in the store")
 	job.CancelRequested = true
 	w.user(other, "job-1", func(req uint64) core.Event { return core.JobCancellation{RequestID: req, ID: "job-1"} }, func(int) {})
-	require.True(t, w.Until(time.Second, func() bool { return job.Told == core.JobCancelled }), "the cancellation is confirmed")
+	require.True(t, w.Until(time.Second, func() bool { return job.Told == model.JobCancelled }), "the cancellation is confirmed")
 	again := 0
 	submit(func(status int) { again = status })
 	w.Run(3 * time.Second)
 	assert.Equal(t, 200, again)
-	assert.Equal(t, core.JobCancelled, job.Told)
+	assert.Equal(t, model.JobCancelled, job.Told)
 }
--- a/internal/fake/meet_cancel_more_test.go
+++ b/internal/fake/meet_cancel_more_test.go
@@ -10,6 +10,7 @@
 	"github.com/stretchr/testify/require"
 
 	"roadcleat/internal/core"
+	"roadcleat/internal/model"
 )
 
 // asks has users ask about a job at one controller again and again for a while, and
@@ -261,15 +262,15 @@
 		jobs = append(jobs, w.Submit(s, time.Duration(2000+i*37%900)*time.Millisecond))
 		w.Run(time.Second)
 	}
-	told := map[core.JobState]int{}
+	told := map[model.JobState]int{}
 	for _, j := range jobs {
 		ends(t, w, j, time.Minute)
 		told[j.Told]++
 	}
 	w.Run(5 * time.Second)
 	assert.Greater(t, strikes, 80)
-	assert.Greater(t, told[core.JobDone], 10, "ended first")
-	assert.Greater(t, told[core.JobCancelled], 10, "cancelled first")
+	assert.Greater(t, told[model.JobDone], 10, "ended first")
+	assert.Greater(t, told[model.JobCancelled], 10, "cancelled first")
 	assert.Zero(t, nowOn(w, jobs))
 }
 
@@ -349,7 +350,7 @@
 			for _, j := range jobs {
 				ends(t, w, j, 3*time.Minute)
 			}
-			assert.Equal(t, core.JobCancelled, jobs[1].Told)
+			assert.Equal(t, model.JobCancelled, jobs[1].Told)
 			w.Run(20 * time.Second)
 			assert.Zero(t, nowOn(w, jobs))
 		})
--- a/internal/fake/meet_cancel_test.go
+++ b/internal/fake/meet_cancel_test.go
@@ -11,6 +11,7 @@
 	"github.com/stretchr/testify/require"
 
 	"roadcleat/internal/core"
+	"roadcleat/internal/model"
 )
 
 // gap is a day in which the owner of zone a loses the state service alone, another
@@ -460,7 +461,7 @@
 
 func TestManySmallJobsOfWhichAQuarterIsCancelled(t *testing.T) {
 	cfg := Settings()
-	cfg.Teams[0].Limit = core.Resources{Cores: 400}
+	cfg.Teams[0].Limit = model.Resources{Cores: 400}
 	w := NewWith(120, cfg, "a", "b", "c", "a", "b", "c", "a")
 	t.Cleanup(func() { assert.Empty(t, w.Referee.Broken, "rules") })
 	for k := range w.Cloud.Room {
@@ -491,7 +492,7 @@
 	}
 	for _, j := range jobs {
 		ends(t, w, j, 2*time.Minute)
-		if j.Told == core.JobCancelled {
+		if j.Told == model.JobCancelled {
 			told++
 		}
 	}
--- a/internal/fake/meet_users_test.go
+++ b/internal/fake/meet_users_test.go
@@ -12,6 +12,7 @@
 	"github.com/stretchr/testify/require"
 
 	"roadcleat/internal/core"
+	"roadcleat/internal/model"
 )
 
 // sets says whether a transaction gives a job the standing: nothing for unfinished.
@@ -221,13 +222,13 @@
 	for _, c := range []struct {
 		id     string
 		status int
-		s      core.JobState
+		s      model.JobState
 		rule   string
 	}{
 		{"job-1", 404, 0, ""}, {"job-1", 503, 0, ""}, {"job-2", 400, 0, ""}, {"job-2", 422, 0, ""}, // as it should be
 		{"job-1", 400, 0, "refused: job-1"}, {"job-1", 422, 0, "refused: job-1"},
 		{"job-2", 201, 0, "bad_accepted: job-2"}, {"job-2", 200, 0, "bad_accepted: job-2"},
-		{"job-1", 201, 0, ""}, {"job-1", 201, 0, "went_back: job-1 was accepted"}, {"job-1", 200, core.JobRunning, ""},
+		{"job-1", 201, 0, ""}, {"job-1", 201, 0, "went_back: job-1 was accepted"}, {"job-1", 200, model.JobRunning, ""},
 		{"job-1", 422, 0, "forgotten: job-1"}, {"job-1", 404, 0, "forgotten: job-1"},
 	} {
 		w.Referee.Broken = nil
@@ -263,7 +264,7 @@
 			})
 		})
 		w.Run(513 * time.Millisecond)
-		assert.Equal(t, core.JobCancelled, job.Told)
+		assert.Equal(t, model.JobCancelled, job.Told)
 	}
 	assert.Greater(t, met, 3)
 }
--- a/internal/fake/meet_workers_test.go
+++ b/internal/fake/meet_workers_test.go
@@ -9,10 +9,11 @@
 	"github.com/stretchr/testify/require"
 
 	"roadcleat/internal/core"
+	"roadcleat/internal/model"
 )
 
 // plain is a job in zone a whose tasks fill a small machine each and need no image.
-func plain(id string, tasks int) core.JobSpec {
+func plain(id string, tasks int) model.JobSpec {
 	s := spec(id, "red", tasks, 4)
 	s.Image, s.ImageGB, s.Types, s.Zone = "", 0, []string{"small"}, "a"
 	return s
@@ -182,7 +183,7 @@
 	// which is free to start elsewhere then.
 	w := idleMachines(t, 104, 1, "a")
 	node := w.Nodes[0]
-	big := func(id string, tasks int, cores float64) core.JobSpec {
+	big := func(id string, tasks int, cores float64) model.JobSpec {
 		s := plain(id, tasks)
 		s.Types, s.Need.Cores = []string{"large"}, cores
 		return s
@@ -307,7 +308,7 @@
 	// tasks planned that can't be written, the rest. Neither is carried out; a copy of
 	// the first is, after the tasks have started. Another part wants all there is.
 	w := idleMachines(t, 117, 2, "a", "b")
-	blue := func(id string, zone string, tasks int) core.JobSpec {
+	blue := func(id string, zone string, tasks int) model.JobSpec {
 		s := plain(id, tasks)
 		s.Team, s.Zone = "blue", zone
 		return s
--- a/internal/fake/ops_test.go
+++ b/internal/fake/ops_test.go
@@ -9,6 +9,7 @@
 	"github.com/stretchr/testify/require"
 
 	"roadcleat/internal/core"
+	"roadcleat/internal/model"
 )
 
 // guests adds a team that has neither a guarantee nor a limit.
@@ -34,7 +35,7 @@
 	ends(t, w, own, 90*time.Second)
 	for _, j := range jobs {
 		ends(t, w, j, 5*time.Minute)
-		assert.Equal(t, core.JobDone, j.Told)
+		assert.Equal(t, model.JobDone, j.Told)
 	}
 	w.Referee.Served()
 	require.True(t, w.Until(3*time.Minute, allGone(w)), "machines go back")
@@ -44,7 +45,7 @@
 }
 
 // broken submits a job with a mistake: it fails on every machine.
-func (w *World) broken(s core.JobSpec) *Job {
+func (w *World) broken(s model.JobSpec) *Job {
 	job := w.Submit(s, time.Second)
 	job.Broken = true
 	return job
@@ -107,7 +108,7 @@
 	assert.False(t, job.Over(), "and stays known")
 	w.Cancel(job)
 	ends(t, w, job, 20*time.Second)
-	assert.Equal(t, core.JobCancelled, job.Told)
+	assert.Equal(t, model.JobCancelled, job.Told)
 }
 
 func TestAFaultyMachineGoesAndTheJobsThatMetItRunInFull(t *testing.T) {
--- a/internal/fake/random.go
+++ b/internal/fake/random.go
@@ -6,6 +6,7 @@
 	"math/rand/v2"
 
 	"roadcleat/internal/core"
+	"roadcleat/internal/model"
 )
 
 // draw draws scripts.
@@ -57,8 +58,8 @@
 		s.Controllers = []string{"a", "c"}
 	}
 	if d.oneIn(8) { // teams that sit at their limit
-		s.Teams[0].Limit, s.Teams[1].Limit = core.Resources{Cores: 12}, core.Resources{Cores: 8}
-		s.Teams[0].Guarantee, s.Teams[1].Guarantee = core.Resources{Cores: 6}, core.Resources{Cores: 4}
+		s.Teams[0].Limit, s.Teams[1].Limit = model.Resources{Cores: 12}, model.Resources{Cores: 8}
+		s.Teams[0].Guarantee, s.Teams[1].Guarantee = model.Resources{Cores: 6}, model.Resources{Cores: 4}
 	}
 	if d.oneIn(4) { // a team without guarantee and limit
 		s.Teams = append(s.Teams, core.Team{Name: "guest"})
@@ -76,16 +77,16 @@
 		s.Boot, s.Slow, s.Lost = [2]float64{1, 2}, d.between(0.2, 1.2), 0.1
 	}
 	if gpus {
-		s.Types = append(s.Types, core.MachineType{Name: "carded", Capacity: core.Resources{Cores: 16, GPUs: 4, MemoryGB: 64},
+		s.Types = append(s.Types, model.MachineType{Name: "carded", Capacity: model.Resources{Cores: 16, GPUs: 4, MemoryGB: 64},
 			CacheGB: 40, FetchGBPerSecond: 0.5, Price: 3, SpotPrice: 1, BootSeconds: 10})
 		s.Teams[0].Limit.GPUs, s.Teams[1].Limit.GPUs = 8, 3
 		s.Teams[0].Guarantee.GPUs = 2
 	}
 	if small := d.oneIn(6); small || gpus {
 		for _, name := range []string{"small", "large"} {
-			t := core.MachineType{Name: name, Capacity: core.Resources{Cores: 4, MemoryGB: 16}, CacheGB: 40, FetchGBPerSecond: 0.5, Price: 0.4, SpotPrice: 0.15, BootSeconds: 8}
+			t := model.MachineType{Name: name, Capacity: model.Resources{Cores: 4, MemoryGB: 16}, CacheGB: 40, FetchGBPerSecond: 0.5, Price: 0.4, SpotPrice: 0.15, BootSeconds: 8}
 			if name == "large" {
-				t.Capacity, t.Price, t.SpotPrice, t.BootSeconds = core.Resources{Cores: 16, MemoryGB: 64}, 1.2, 0.4, 10
+				t.Capacity, t.Price, t.SpotPrice, t.BootSeconds = model.Resources{Cores: 16, MemoryGB: 64}, 1.2, 0.4, 10
 			}
 			if small { // caches for one or two images
 				t.CacheGB = 2
@@ -99,8 +100,8 @@
 // job draws a job for a world.
 func (d draw) job(w Setting, id string, at float64, gpus bool) Request {
 	team := w.Teams[d.IntN(2)]
-	s := core.JobSpec{Class: "work", Team: team.Name, Priority: d.IntN(4), Tasks: 1 + d.IntN(6), Spot: !d.oneIn(3),
-		Need: core.Resources{Cores: float64(1 + d.IntN(4)), MemoryGB: 1}, Image: []string{"x", "y", "z"}[d.IntN(3)], ImageGB: 0.5,
+	s := model.JobSpec{Class: "work", Team: team.Name, Priority: d.IntN(4), Tasks: 1 + d.IntN(6), Spot: !d.oneIn(3),
+		Need: model.Resources{Cores: float64(1 + d.IntN(4)), MemoryGB: 1}, Image: []string{"x", "y", "z"}[d.IntN(3)], ImageGB: 0.5,
 		EstimateSeconds: float64(2 + d.IntN(30))}
 	r := Request{At: at, ID: id, Run: d.between(2, 32)}
 	zones := w.config().Zones
--- a/internal/fake/referee.go
+++ b/internal/fake/referee.go
@@ -6,11 +6,12 @@
 	"time"
 
 	"roadcleat/internal/core"
+	"roadcleat/internal/model"
 )
 
 // Job is a job of a user, with its true run time.
 type Job struct {
-	Spec            core.JobSpec
+	Spec            model.JobSpec
 	Run             time.Duration
 	Broken          bool // submitted with a mistake: it fails on every machine
 	Bad             bool // it can't run or lacks a field
@@ -20,7 +21,7 @@
 	Saved           map[int]time.Duration // progress by task
 	Accepted        bool
 	Refused         bool // it can't run or lacks a field, the user was told
-	Told            core.JobState
+	Told            model.JobState
 	Cancelled       time.Duration // when the user was told, 0: not
 	CancelRequested bool
 	Came            time.Duration // when it was first submitted
@@ -36,7 +37,7 @@
 // Referee knows the rules and notes where they are broken.
 type Referee struct {
 	w      *World
-	where  map[core.TaskID]map[*Worker]bool
+	where  map[model.TaskID]map[*Worker]bool
 	Broken []string
 	Starts int
 	// AfterCancel counts the starts after a confirmed cancellation. Those within
@@ -47,7 +48,7 @@
 }
 
 func newReferee(w *World) *Referee {
-	r := &Referee{w: w, where: map[core.TaskID]map[*Worker]bool{}}
+	r := &Referee{w: w, where: map[model.TaskID]map[*Worker]bool{}}
 	var tick func()
 	tick = func() {
 		r.overdue()
@@ -62,7 +63,7 @@
 }
 
 // on is called when a task starts on a machine.
-func (r *Referee) on(id core.TaskID, worker *Worker) {
+func (r *Referee) on(id model.TaskID, worker *Worker) {
 	r.Starts++
 	job := r.w.Jobs[id.Job]
 	job.Starts++
@@ -88,8 +89,8 @@
 }
 
 // quota checks what the team's tasks use together.
-func (r *Referee) quota(job *Job, id core.TaskID, worker *Worker) {
-	var used core.Resources
+func (r *Referee) quota(job *Job, id model.TaskID, worker *Worker) {
+	var used model.Resources
 	for t, ks := range r.where {
 		if j := r.w.Jobs[t.Job]; j.Spec.Team == job.Spec.Team {
 			for range ks {
@@ -110,7 +111,7 @@
 }
 
 // place checks type, zone and kind against the job and its other tasks.
-func (r *Referee) place(job *Job, id core.TaskID, worker *Worker) {
+func (r *Referee) place(job *Job, id model.TaskID, worker *Worker) {
 	s := &job.Spec
 	wrong := !worker.allowed(s)
 	if s.OneZone || s.SpreadZones {
@@ -140,7 +141,7 @@
 }
 
 // off is called when a task is no longer on a machine.
-func (r *Referee) off(id core.TaskID, worker *Worker) {
+func (r *Referee) off(id model.TaskID, worker *Worker) {
 	delete(r.where[id], worker)
 	if len(r.where[id]) == 0 {
 		delete(r.where, id)
@@ -186,7 +187,7 @@
 	for _, name := range names {
 		served := 0
 		for _, j := range groups[name] {
-			if j.Told == core.JobDone {
+			if j.Told == model.JobDone {
 				served++
 			}
 		}
@@ -227,7 +228,7 @@
 // not be older than that.
 type known struct {
 	accepted bool
-	told     core.JobState
+	told     model.JobState
 }
 
 func (r *Referee) known(id string) known {
@@ -238,7 +239,7 @@
 }
 
 // told checks an answer to a user.
-func (r *Referee) told(id string, status int, s core.JobState, before known) {
+func (r *Referee) told(id string, status int, s model.JobState, before known) {
 	job := r.w.Jobs[id]
 	if job == nil {
 		if status == 200 {
@@ -265,20 +266,20 @@
 		r.broken("went_back", "%s was accepted and is so anew", id)
 	}
 	job.Accepted, job.Answered = true, r.w.Now
-	over := before.told == core.JobDone || before.told == core.JobCancelled
-	if over && s != before.told || s == core.JobCancelled && !job.CancelRequested {
+	over := before.told == model.JobDone || before.told == model.JobCancelled
+	if over && s != before.told || s == model.JobCancelled && !job.CancelRequested {
 		r.broken("went_back", "%s was %d and is called %d", id, job.Told, s)
 	}
-	if s == core.JobDone && len(job.Finished) < job.Spec.Tasks {
+	if s == model.JobDone && len(job.Finished) < job.Spec.Tasks {
 		r.broken("not_done", "%s has %d of %d tasks done", id, len(job.Finished), job.Spec.Tasks)
 	}
-	if s == core.JobCancelled && job.Cancelled == 0 && job.Told != core.JobCancelled {
+	if s == model.JobCancelled && job.Cancelled == 0 && job.Told != model.JobCancelled {
 		job.Cancelled = r.w.Now
 	}
-	if s == core.JobDone && job.ToldDone == 0 {
+	if s == model.JobDone && job.ToldDone == 0 {
 		job.ToldDone = r.w.Now
 	}
-	if !over && (s == core.JobDone || s == core.JobCancelled || !job.Over()) {
+	if !over && (s == model.JobDone || s == model.JobCancelled || !job.Over()) {
 		job.Told = s
 	}
 }
@@ -296,7 +297,7 @@
 		rep, _ := reply.(core.UserReply)
 		w.Referee.told(id, rep.Status, rep.Job.State, before)
 		if job := w.Jobs[id]; job != nil {
-			if job.Told == core.JobCancelled && before.told != core.JobCancelled {
+			if job.Told == model.JobCancelled && before.told != model.JobCancelled {
 				w.moment(Moment{CancelJob, After, node, nil, job})
 			}
 			w.noticed(job)
@@ -307,7 +308,7 @@
 
 // Submit has a user submit a job, again and again until it is taken, and poll
 // it until it is over.
-func (w *World) Submit(spec core.JobSpec, run time.Duration) *Job {
+func (w *World) Submit(spec model.JobSpec, run time.Duration) *Job {
 	job := &Job{Spec: spec, Run: run}
 	w.submit(job)
 	return job
@@ -344,7 +345,7 @@
 
 func (w *World) poll(job *Job) {
 	w.user(w.anyNode(), job.Spec.ID, func(req uint64) core.Event { return core.JobQuery{RequestID: req, ID: job.Spec.ID} }, func(int) {
-		if job.Told != core.JobDone && job.Told != core.JobCancelled {
+		if job.Told != model.JobDone && job.Told != model.JobCancelled {
 			w.After(2*time.Second, func() { w.poll(job) })
 		}
 	})
@@ -361,7 +362,7 @@
 }
 
 // Over says whether the job's user has been told that it has ended.
-func (j *Job) Over() bool { return j.Told == core.JobDone || j.Told == core.JobCancelled }
+func (j *Job) Over() bool { return j.Told == model.JobDone || j.Told == model.JobCancelled }
 
 // On lists where a job's tasks run.
 func (w *World) On(id string) map[*Worker]int {
--- a/internal/fake/script.go
+++ b/internal/fake/script.go
@@ -8,6 +8,7 @@
 	"time"
 
 	"roadcleat/internal/core"
+	"roadcleat/internal/model"
 )
 
 // Script is a day as a value: a world, what users want of it, and what goes wrong when.
@@ -22,14 +23,14 @@
 
 // Setting is what a script's world is like; what is left out is as in Settings.
 type Setting struct {
-	Zones       []string           `json:"zones,omitempty"`
-	Controllers []string           `json:"controllers,omitempty"` // their zones; none: one in each
-	Teams       []core.Team        `json:"teams,omitempty"`
-	Types       []core.MachineType `json:"types,omitempty"`
-	Room        int                `json:"room,omitempty"`        // machines of each type, zone and kind
-	ValueBytes  int                `json:"value_bytes,omitempty"` // limit of a value in the store
-	Boot        [2]float64         `json:"boot,omitempty"`        // fastest and slowest; none: by type
-	Keep        int                `json:"keep,omitempty"`        // changes that the store keeps
+	Zones       []string            `json:"zones,omitempty"`
+	Controllers []string            `json:"controllers,omitempty"` // their zones; none: one in each
+	Teams       []core.Team         `json:"teams,omitempty"`
+	Types       []model.MachineType `json:"types,omitempty"`
+	Room        int                 `json:"room,omitempty"`        // machines of each type, zone and kind
+	ValueBytes  int                 `json:"value_bytes,omitempty"` // limit of a value in the store
+	Boot        [2]float64          `json:"boot,omitempty"`        // fastest and slowest; none: by type
+	Keep        int                 `json:"keep,omitempty"`        // changes that the store keeps
 	// Until when the following goes on, and for which share of calls or machines.
 	Noise      float64 `json:"noise,omitempty"`
 	Lost       float64 `json:"lost,omitempty"`      // transactions without answer, carried out up to 8 s later
@@ -42,12 +43,12 @@
 
 // Request is a job that a user submits, and perhaps cancels.
 type Request struct {
-	At     float64      `json:"at"`
-	ID     string       `json:"id"`
-	Spec   core.JobSpec `json:"spec"`
-	Run    float64      `json:"run"`              // true run time of each task
-	Cancel float64      `json:"cancel,omitempty"` // seconds after the submission; 0: never
-	Broken bool         `json:"broken,omitempty"`
+	At     float64       `json:"at"`
+	ID     string        `json:"id"`
+	Spec   model.JobSpec `json:"spec"`
+	Run    float64       `json:"run"`              // true run time of each task
+	Cancel float64       `json:"cancel,omitempty"` // seconds after the submission; 0: never
+	Broken bool          `json:"broken,omitempty"`
 }
 
 // InjectedFault is a trouble, and when and whom it strikes: at a time, or at a phase of the Nth
@@ -174,7 +175,7 @@
 
 // offer has the cloud rent machines of these types, two of each in each zone and of each
 // kind.
-func (c *Cloud) offer(types []core.MachineType) {
+func (c *Cloud) offer(types []model.MachineType) {
 	c.Types, c.Room = nil, map[string]int{}
 	for _, t := range types {
 		if len(t.Zones) == 0 {
--- a/internal/fake/services.go
+++ b/internal/fake/services.go
@@ -8,6 +8,7 @@
 	"time"
 
 	"roadcleat/internal/core"
+	"roadcleat/internal/model"
 )
 
 // Store is the state service.
@@ -304,7 +305,7 @@
 // Cloud rents machines.
 type Cloud struct {
 	w       *World
-	Types   []core.MachineType
+	Types   []model.MachineType
 	Room    map[string]int // machines left per "type/zone/spot"
 	down    time.Duration
 	granted map[string][]string
@@ -317,9 +318,9 @@
 
 func newCloud(w *World) *Cloud {
 	c := &Cloud{w: w, granted: map[string][]string{}, Room: map[string]int{},
-		Types: []core.MachineType{
-			{Name: "small", Capacity: core.Resources{Cores: 4, MemoryGB: 16}, CacheGB: 40, FetchGBPerSecond: 0.5, Price: 0.4, SpotPrice: 0.15, BootSeconds: 8, Zones: w.Cfg.Zones},
-			{Name: "large", Capacity: core.Resources{Cores: 16, MemoryGB: 64}, CacheGB: 40, FetchGBPerSecond: 0.5, Price: 1.2, SpotPrice: 0.4, BootSeconds: 10, Zones: w.Cfg.Zones},
+		Types: []model.MachineType{
+			{Name: "small", Capacity: model.Resources{Cores: 4, MemoryGB: 16}, CacheGB: 40, FetchGBPerSecond: 0.5, Price: 0.4, SpotPrice: 0.15, BootSeconds: 8, Zones: w.Cfg.Zones},
+			{Name: "large", Capacity: model.Resources{Cores: 16, MemoryGB: 64}, CacheGB: 40, FetchGBPerSecond: 0.5, Price: 1.2, SpotPrice: 0.4, BootSeconds: 10, Zones: w.Cfg.Zones},
 		}}
 	for _, t := range c.Types {
 		for _, z := range w.Cfg.Zones {
@@ -444,7 +445,7 @@
 		if worker.started {
 			addr = worker.name
 		}
-		res.Hosts = append(res.Hosts, core.ListedHost{Name: worker.name, Address: addr, Type: worker.typ, Zone: worker.zone, Spot: worker.spot,
+		res.Hosts = append(res.Hosts, model.ListedHost{Name: worker.name, Address: addr, Type: worker.typ, Zone: worker.zone, Spot: worker.spot,
 			State: state, RentedSeconds: (c.w.Now - worker.born).Seconds()})
 	}
 	sort.Slice(res.Hosts, func(i, j int) bool { return res.Hosts[i].Name < res.Hosts[j].Name })
--- a/internal/fake/size_test.go
+++ b/internal/fake/size_test.go
@@ -2,13 +2,12 @@
 
 import (
 	"fmt"
+	"roadcleat/internal/model"
 	"testing"
 	"time"
 
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
-
-	"roadcleat/internal/core"
 )
 
 // BenchmarkGrownDay plays the first seconds of deployments of up to some 2,100
@@ -53,8 +52,8 @@
 	cfg := Settings()
 	cfg.Zones = cfg.Zones[:zones]
 	cfg.HeartbeatInterval, cfg.WorkerLease, cfg.CancelWithin, cfg.ListLag = 6*time.Second, 36*time.Second, 66*time.Second, 6*time.Second
-	cfg.Teams[0].Limit, cfg.Teams[0].Guarantee = core.Resources{Cores: 10000}, core.Resources{Cores: 3000}
-	cfg.Teams[1].Limit, cfg.Teams[1].Guarantee = core.Resources{Cores: 6000}, core.Resources{Cores: 2000}
+	cfg.Teams[0].Limit, cfg.Teams[0].Guarantee = model.Resources{Cores: 10000}, model.Resources{Cores: 3000}
+	cfg.Teams[1].Limit, cfg.Teams[1].Guarantee = model.Resources{Cores: 6000}, model.Resources{Cores: 2000}
 	w := New(1, cfg)
 	for k := range w.Cloud.Room {
 		w.Cloud.Room[k] = machines / len(w.Cloud.Room)
--- a/internal/fake/status_test.go
+++ b/internal/fake/status_test.go
@@ -11,10 +11,11 @@
 	"github.com/stretchr/testify/require"
 
 	"roadcleat/internal/core"
+	"roadcleat/internal/model"
 )
 
 // replicas is a service of n of them, spread over zones.
-func replicas(id string, n int) core.JobSpec {
+func replicas(id string, n int) model.JobSpec {
 	s := spec(id, "red", n, 2)
 	s.Service, s.SpreadZones, s.Class, s.EstimateSeconds = true, true, "live", 0
 	return s
@@ -102,22 +103,22 @@
 	nothing := func(w *World) { w.Cloud.Room = map[string]int{} }
 	for _, c := range []struct {
 		why     core.Reason
-		trouble func(w *World, s *core.JobSpec)
+		trouble func(w *World, s *model.JobSpec)
 		atAll   bool // at every controller, not only at one
 	}{
-		{core.ReasonAtLimit, func(_ *World, s *core.JobSpec) { s.Tasks, s.Zone = 30, "a" }, true},
-		{core.ReasonNoCapacity, func(w *World, _ *core.JobSpec) { nothing(w) }, true},
-		{core.ReasonBooting, func(w *World, _ *core.JobSpec) { w.Cloud.BootS = func(string) float64 { return 20 } }, true},
-		{core.ReasonImageFetch, func(_ *World, s *core.JobSpec) { s.ImageGB = 20 }, true},
-		{core.ReasonHeldBack, func(w *World, s *core.JobSpec) {
+		{core.ReasonAtLimit, func(_ *World, s *model.JobSpec) { s.Tasks, s.Zone = 30, "a" }, true},
+		{core.ReasonNoCapacity, func(w *World, _ *model.JobSpec) { nothing(w) }, true},
+		{core.ReasonBooting, func(w *World, _ *model.JobSpec) { w.Cloud.BootS = func(string) float64 { return 20 } }, true},
+		{core.ReasonImageFetch, func(_ *World, s *model.JobSpec) { s.ImageGB = 20 }, true},
+		{core.ReasonHeldBack, func(w *World, s *model.JobSpec) {
 			nothing(w)
 			s.Team, s.Priority = "guest", 3
 		}, true},
-		{core.ReasonStoreUnavailable, func(w *World, _ *core.JobSpec) {
+		{core.ReasonStoreUnavailable, func(w *World, _ *model.JobSpec) {
 			nothing(w)
 			w.After(10*time.Second, func() { w.Store.Outage(20 * time.Second) })
 		}, true},
-		{core.ReasonSuspectJob, func(_ *World, _ *core.JobSpec) {}, false},
+		{core.ReasonSuspectJob, func(_ *World, _ *model.JobSpec) {}, false},
 	} {
 		t.Run(c.why.Name(), func(t *testing.T) {
 			w := New(8302, guests(Settings()))
--- a/internal/fake/story_test.go
+++ b/internal/fake/story_test.go
@@ -11,6 +11,7 @@
 	"github.com/stretchr/testify/require"
 
 	"roadcleat/internal/core"
+	"roadcleat/internal/model"
 )
 
 // day makes a world in which the controllers have settled.
@@ -24,8 +25,8 @@
 	return w
 }
 
-func spec(id, team string, tasks int, cores float64) core.JobSpec {
-	return core.JobSpec{ID: id, Class: "work", Team: team, Priority: 1, Tasks: tasks, Need: core.Resources{Cores: cores, MemoryGB: 1},
+func spec(id, team string, tasks int, cores float64) model.JobSpec {
+	return model.JobSpec{ID: id, Class: "work", Team: team, Priority: 1, Tasks: tasks, Need: model.Resources{Cores: cores, MemoryGB: 1},
 		Spot: true, Image: "img", ImageGB: 0.5, EstimateSeconds: 10}
 }
 
@@ -81,7 +82,7 @@
 	w := day(t, 1)
 	job := w.Submit(spec("job-1", "red", 6, 2), 8*time.Second)
 	ends(t, w, job, 60*time.Second)
-	assert.Equal(t, core.JobDone, job.Told)
+	assert.Equal(t, model.JobDone, job.Told)
 	assert.Len(t, job.Finished, 6)
 	assert.True(t, w.Until(2*time.Minute, allGone(w)), "idle machines are returned")
 }
@@ -127,7 +128,7 @@
 	w.Cancel(job)
 	ends(t, w, job, 30*time.Second)
 	w.Run(2 * time.Minute)
-	assert.Equal(t, core.JobCancelled, job.Told)
+	assert.Equal(t, model.JobCancelled, job.Told)
 	assert.Empty(t, w.On("job-2"))
 	ends(t, w, warm, 3*time.Minute)
 }
@@ -285,8 +286,8 @@
 	}
 	w.Run(5 * time.Second)
 	for _, node := range w.Nodes {
-		for id, want := range map[string]core.JobState{"job-1": core.JobDone, "job-2": core.JobCancelled} {
-			got := core.JobPending
+		for id, want := range map[string]model.JobState{"job-1": model.JobDone, "job-2": model.JobCancelled} {
+			got := model.JobPending
 			node.ask(func(req uint64) core.Event { return core.JobQuery{RequestID: req, ID: id} }, func(v core.Effect) { got = v.(core.UserReply).Job.State })
 			w.Run(time.Second)
 			assert.Equal(t, want, got, "%s at %s", id, node.Name)
@@ -338,7 +339,7 @@
 		assert.Contains(t, w.Referee.Broken[len(w.Referee.Broken)-1], rule)
 		w.Referee.Broken = nil
 	}
-	at := func(i int) core.TaskID { return core.TaskID{Job: "job-1", Index: i} }
+	at := func(i int) model.TaskID { return model.TaskID{Job: "job-1", Index: i} }
 	w.Referee.on(at(0), k1)
 	require.Empty(t, w.Referee.Broken)
 	w.Referee.on(at(0), k2)
@@ -354,16 +355,16 @@
 	w.Referee.on(at(8), k1)
 	w.Referee.on(at(1), k1)
 	saw("quota")
-	w.Referee.told("job-1", 200, core.JobDone, w.Referee.known("job-1"))
+	w.Referee.told("job-1", 200, model.JobDone, w.Referee.known("job-1"))
 	saw("not_done")
-	w.Referee.told("job-1", 200, core.JobPending, w.Referee.known("job-1"))
+	w.Referee.told("job-1", 200, model.JobPending, w.Referee.known("job-1"))
 	saw("went_back")
 	w.Referee.told("job-1", 404, 0, w.Referee.known("job-1"))
 	saw("forgotten")
-	w.Referee.told("job-7", 200, core.JobPending, w.Referee.known("job-7"))
+	w.Referee.told("job-7", 200, model.JobPending, w.Referee.known("job-7"))
 	saw("invented")
-	job.Told, job.CancelRequested = core.JobPending, true
-	w.Referee.told("job-1", 200, core.JobCancelled, w.Referee.known("job-1"))
+	job.Told, job.CancelRequested = model.JobPending, true
+	w.Referee.told("job-1", 200, model.JobCancelled, w.Referee.known("job-1"))
 	require.Empty(t, w.Referee.Broken)
 	w.Now += w.Cfg.CancelWithin + time.Second
 	w.Referee.overdue()
--- a/internal/fake/trouble_test.go
+++ b/internal/fake/trouble_test.go
@@ -11,6 +11,7 @@
 	"github.com/stretchr/testify/require"
 
 	"roadcleat/internal/core"
+	"roadcleat/internal/model"
 )
 
 // anyOn is a machine that has tasks of the job; always the same in a replay.
@@ -287,7 +288,7 @@
 	w.Referee.Served() // the cleanup of the day looks at what it found
 	done := 0
 	for _, j := range w.Jobs {
-		if j.Told == core.JobDone {
+		if j.Told == model.JobDone {
 			done++
 		}
 	}
@@ -325,14 +326,14 @@
 func TestTheRefereeSeesForgottenAndStarvedJobs(t *testing.T) {
 	w := New(1, Settings())
 	w.Now = time.Second
-	add := func(id, team string, tasks int, told core.JobState, began time.Duration) *Job {
+	add := func(id, team string, tasks int, told model.JobState, began time.Duration) *Job {
 		s := spec(id, team, tasks, 1)
 		j := &Job{Spec: s, Finished: map[int]bool{}, Accepted: true, Answered: w.Now, Told: told, Began: began}
 		w.Jobs[id] = j
 		return j
 	}
 	broken := func() string { return strings.Join(w.Referee.Broken, "; ") }
-	silent := add("job-1", "red", 1, core.JobPending, time.Second)
+	silent := add("job-1", "red", 1, model.JobPending, time.Second)
 	w.FaultsOverAt = 100 * time.Second
 	w.Now = 100*time.Second + forgetAfter
 	w.Referee.overdue()
@@ -342,21 +343,21 @@
 	assert.Contains(t, broken(), "forgotten: no question about job-1")
 	w.Referee.Broken = nil
 
-	silent.Told = core.JobDone
-	add("job-2", "blue", 2, core.JobDone, time.Second)
-	add("job-3", "red", 1, core.JobDone, time.Second)
+	silent.Told = model.JobDone
+	add("job-2", "blue", 2, model.JobDone, time.Second)
+	add("job-3", "red", 1, model.JobDone, time.Second)
 	w.Referee.Served()
 	require.Empty(t, w.Referee.Broken)
-	big := add("job-4", "red", 50, core.JobDone, beginWithin+time.Minute)
+	big := add("job-4", "red", 50, model.JobDone, beginWithin+time.Minute)
 	w.Referee.Served()
 	assert.Contains(t, broken(), "job-4, one of the largest of work, began after")
 	w.Referee.Broken = nil
-	big.Told, big.Began = core.JobPending, time.Second
+	big.Told, big.Began = model.JobPending, time.Second
 	w.Referee.Served()
 	assert.Contains(t, broken(), "largest of class work: 0 of 1")
 	w.Referee.Broken = nil
 	for _, id := range []string{"job-5", "job-6"} {
-		add(id, "blue", 1, core.JobPending, time.Second)
+		add(id, "blue", 1, model.JobPending, time.Second)
 	}
 	w.Referee.Served()
 	assert.Contains(t, broken(), "team blue: 1 of 3")
@@ -408,7 +409,7 @@
 	w := oneController(t, 50, func(c *core.Config) {
 		c.Tuning.ReturnSilentAfter, c.Tuning.KeepIdle = 10*time.Minute, 10*time.Minute
 	})
-	plain := func(id string, tasks int) core.JobSpec {
+	plain := func(id string, tasks int) model.JobSpec {
 		s := spec(id, "red", tasks, 4)
 		s.Image, s.ImageGB = "", 0
 		return s
--- a/internal/fake/users_troubles.go
+++ b/internal/fake/users_troubles.go
@@ -7,6 +7,7 @@
 	"time"
 
 	"roadcleat/internal/core"
+	"roadcleat/internal/model"
 	"roadcleat/internal/wire"
 )
 
@@ -95,7 +96,7 @@
 }
 
 // fields are a submission's, as its user writes them.
-func fields(s core.JobSpec) map[string]any {
+func fields(s model.JobSpec) map[string]any {
 	form := "array"
 	if s.Service {
 		form = "daemon"
@@ -112,7 +113,7 @@
 	"OneZone", "Apart", "Loaners", "ExpectedS", "BookmarkS", "StowS"}
 
 // without is a body that lacks a field.
-func without(s core.JobSpec, field string) []byte {
+func without(s model.JobSpec, field string) []byte {
 	f := fields(s)
 	delete(f, field)
 	b, _ := json.Marshal(f)
@@ -120,7 +121,7 @@
 }
 
 // canRun is the referee's own view of whether a job can ever run.
-func (w *World) canRun(s *core.JobSpec) bool {
+func (w *World) canRun(s *model.JobSpec) bool {
 	zones := map[string]bool{}
 	for _, t := range w.Cloud.Types {
 		fits := s.Need.Cores <= t.Capacity.Cores && s.Need.GPUs <= t.Capacity.GPUs && s.Need.MemoryGB <= t.Capacity.MemoryGB
@@ -178,7 +179,7 @@
 	var unfinished, done []*Job
 	for _, id := range sortedJobs(w.Jobs) {
 		switch j := w.Jobs[id]; {
-		case j.Told == core.JobDone:
+		case j.Told == model.JobDone:
 			done = append(done, j)
 		case j.Accepted && !j.Over():
 			unfinished = append(unfinished, j)
@@ -197,8 +198,8 @@
 		w.ask(node, fmt.Sprintf("job-%d", 900000+w.Rng.IntN(1000)), counts(&w.Users.Nobodys, 404))
 	default:
 		w.odd++
-		s := core.JobSpec{ID: fmt.Sprintf("job-%d", 800000+w.odd), Class: "odd", Team: w.Cfg.Teams[0].Name, Tasks: 1,
-			Need: core.Resources{Cores: 1, MemoryGB: 1}, Spot: true, Image: "img"}
+		s := model.JobSpec{ID: fmt.Sprintf("job-%d", 800000+w.odd), Class: "odd", Team: w.Cfg.Teams[0].Name, Tasks: 1,
+			Need: model.Resources{Cores: 1, MemoryGB: 1}, Spot: true, Image: "img"}
 		if kind == 4 {
 			s.Need.MemoryGB, field = 1e6, ""
 		}
@@ -207,7 +208,7 @@
 }
 
 // SubmitBad has a user submit what can't run or lacks a field, until it is refused.
-func (w *World) SubmitBad(s core.JobSpec, body []byte) *Job {
+func (w *World) SubmitBad(s model.JobSpec, body []byte) *Job {
 	job := &Job{Spec: s, Bad: true, Finished: map[int]bool{}, Saved: map[int]time.Duration{}, Came: w.Now}
 	w.Jobs[s.ID] = job
 	var try func()
--- a/internal/fake/waiting.go
+++ b/internal/fake/waiting.go
@@ -6,6 +6,7 @@
 	"time"
 
 	"roadcleat/internal/core"
+	"roadcleat/internal/model"
 )
 
 const (
@@ -20,7 +21,7 @@
 )
 
 // allowed says whether a job's tasks may be on a machine, whatever else is there.
-func (k *Worker) allowed(s *core.JobSpec) bool {
+func (k *Worker) allowed(s *model.JobSpec) bool {
 	return (s.Zone == "" || s.Zone == k.zone) && (s.Spot || !k.spot) &&
 		(len(s.Types) == 0 || slices.Contains(s.Types, k.typ)) && within(s.Need, k.kind().Capacity)
 }
@@ -32,10 +33,10 @@
 }
 
 // limit is a team's limit; none for a team that is not known.
-func (w *World) limit(team string) core.Resources {
+func (w *World) limit(team string) model.Resources {
 	i := slices.IndexFunc(w.Cfg.Teams, func(t core.Team) bool { return t.Name == team })
 	if i < 0 {
-		return core.Resources{}
+		return model.Resources{}
 	}
 	return w.Cfg.Teams[i].Limit
 }
@@ -47,13 +48,13 @@
 }
 
 // allows says whether a team may use so much.
-func (w *World) allows(team string, used core.Resources) bool {
+func (w *World) allows(team string, used model.Resources) bool {
 	limit := w.limit(team)
 	return (limit.Cores == 0 || used.Cores <= limit.Cores+1e-6) && (limit.GPUs == 0 || used.GPUs <= limit.GPUs+1e-6)
 }
 
 // cancelled judges a start after its job's user was told that it is cancelled.
-func (r *Referee) cancelled(job *Job, id core.TaskID, worker *Worker) {
+func (r *Referee) cancelled(job *Job, id model.TaskID, worker *Worker) {
 	if job.Cancelled == 0 || r.w.Now == job.Cancelled {
 		return
 	}
@@ -66,11 +67,11 @@
 // placed is what is on machines, in any state but ended.
 type placed struct {
 	tasks map[string][]*Worker // by job, one machine a task
-	used  map[string]core.Resources
+	used  map[string]model.Resources
 }
 
 func (w *World) placed() placed {
-	p := placed{map[string][]*Worker{}, map[string]core.Resources{}}
+	p := placed{map[string][]*Worker{}, map[string]model.Resources{}}
 	names := make([]string, 0, len(w.Workers))
 	for name := range w.Workers {
 		names = append(names, name)
@@ -147,7 +148,7 @@
 
 // roomFor says whether machines that are up have room for one more of a job's tasks; for
 // all of them, if it is a gang.
-func (w *World) roomFor(job *Job, on []*Worker, used core.Resources) bool {
+func (w *World) roomFor(job *Job, on []*Worker, used model.Resources) bool {
 	s, n := &job.Spec, 1
 	if s.Gang {
 		n = s.Tasks
@@ -174,8 +175,8 @@
 }
 
 // tasksMore is how many more tasks of need a machine holds, up to n.
-func (k *Worker) tasksMore(need core.Resources, n int) int {
-	sum := core.Resources{}
+func (k *Worker) tasksMore(need model.Resources, n int) int {
+	sum := model.Resources{}
 	for i := range n {
 		if sum = plus(sum, need); !k.holds(sum, nil) {
 			return i
@@ -185,7 +186,7 @@
 }
 
 // zoneAllows says whether one more task may be in a zone, given where the others are.
-func zoneAllows(s *core.JobSpec, on []*Worker, zone string) bool {
+func zoneAllows(s *model.JobSpec, on []*Worker, zone string) bool {
 	same := 0
 	for _, worker := range on {
 		if worker.zone == zone {
@@ -196,7 +197,7 @@
 }
 
 // rentable says whether the cloud has a machine for one more of a job's tasks.
-func (w *World) rentable(job *Job, on []*Worker, used core.Resources) bool {
+func (w *World) rentable(job *Job, on []*Worker, used model.Resources) bool {
 	s := &job.Spec
 	if !w.allows(s.Team, plus(used, s.Need)) {
 		return false
--- a/internal/fake/waiting_test.go
+++ b/internal/fake/waiting_test.go
@@ -8,6 +8,7 @@
 	"github.com/stretchr/testify/require"
 
 	"roadcleat/internal/core"
+	"roadcleat/internal/model"
 )
 
 //revive:disable-next-line:function-length one world goes through all cases, each from where the last one left it
@@ -19,7 +20,7 @@
 	worker := newWorker(w, "vm-1", "large", "a", false)
 	worker.started, worker.token = true, 1
 	w.Workers[worker.name] = worker
-	add := func(id string, tasks int, change func(*core.JobSpec)) *Job {
+	add := func(id string, tasks int, change func(*model.JobSpec)) *Job {
 		s := spec(id, "red", tasks, 4)
 		if change != nil {
 			change(&s)
@@ -40,21 +41,21 @@
 	}
 	cases := []struct {
 		name   string
-		change func(*core.JobSpec)
+		change func(*model.JobSpec)
 		meet   func(*Job)
 		seen   bool
 	}{
 		{"room for it", nil, nil, true},
-		{"another zone", func(s *core.JobSpec) { s.Zone = "b" }, nil, false},
-		{"no cards there", func(s *core.JobSpec) { s.Need.GPUs = 1 }, nil, false},
-		{"a gang too large", func(s *core.JobSpec) { s.Gang, s.Tasks = true, 5 }, nil, false},
-		{"a gang that fits", func(s *core.JobSpec) { s.Gang, s.Tasks = true, 4 }, nil, true},
+		{"another zone", func(s *model.JobSpec) { s.Zone = "b" }, nil, false},
+		{"no cards there", func(s *model.JobSpec) { s.Need.GPUs = 1 }, nil, false},
+		{"a gang too large", func(s *model.JobSpec) { s.Gang, s.Tasks = true, 5 }, nil, false},
+		{"a gang that fits", func(s *model.JobSpec) { s.Gang, s.Tasks = true, 4 }, nil, true},
 		{"cancelled", nil, func(j *Job) { j.CancelRequested = true }, false},
-		{"over the limit", func(s *core.JobSpec) { s.Need.Cores = 16; s.Team = "blue" }, func(*Job) { w.Cfg.Teams[1].Limit.Cores = 15 }, false},
+		{"over the limit", func(s *model.JobSpec) { s.Need.Cores = 16; s.Team = "blue" }, func(*Job) { w.Cfg.Teams[1].Limit.Cores = 15 }, false},
 		{"cards over the limit", nil, func(j *Job) {
 			w.Cloud.Types[1].Capacity.GPUs, j.Spec.Need.GPUs, w.Cfg.Teams[0].Limit.GPUs = 4, 2, 1
 		}, false},
-		{"cards within it", func(s *core.JobSpec) { s.Need.GPUs = 1 }, nil, true},
+		{"cards within it", func(s *model.JobSpec) { s.Need.GPUs = 1 }, nil, true},
 		{"taken away soon", nil, func(*Job) { worker.spotNotice = time.Hour }, false},
 	}
 	for _, c := range cases {
@@ -79,14 +80,14 @@
 	delete(w.Jobs, "job-1")
 	worker.gone = true // machines can be had, though
 	w.Cloud.Room[roomKey("small", "b", true)] = 1
-	add("job-2", 2, func(s *core.JobSpec) { s.Service = true })
+	add("job-2", 2, func(s *model.JobSpec) { s.Service = true })
 	assert.Empty(t, after(replicaBy))
 	missing := after(3 * time.Second)
 	require.Len(t, missing, 1)
 	assert.Contains(t, missing[0], "replicas_missing: job-2 lacks 2")
 
 	worker.gone = false
-	job, at := add("job-3", 9, nil), func(i int) core.TaskID { return core.TaskID{Job: "job-3", Index: i} }
+	job, at := add("job-3", 9, nil), func(i int) model.TaskID { return model.TaskID{Job: "job-3", Index: i} }
 	job.Cancelled = w.Now
 	w.Now += cancelledStart
 	w.Referee.on(at(0), worker)
@@ -106,16 +107,16 @@
 	w.Jobs["job-4"] = &Job{Spec: card, Accepted: true}
 	w.Cfg.Teams[0].Limit.GPUs = 2
 	for i := range 2 {
-		w.Referee.on(core.TaskID{Job: "job-4", Index: i}, worker)
+		w.Referee.on(model.TaskID{Job: "job-4", Index: i}, worker)
 	}
 	require.Empty(t, w.Referee.Broken)
-	w.Referee.on(core.TaskID{Job: "job-4", Index: 2}, worker)
+	w.Referee.on(model.TaskID{Job: "job-4", Index: 2}, worker)
 	require.Len(t, w.Referee.Broken, 1)
 	assert.Contains(t, w.Referee.Broken[0], "quota: red uses")
 	w.Referee.Broken = nil
 	w.Cloud.Types[1].Capacity.GPUs = 0
 	w.Cfg.Teams[0].Limit.GPUs = 0
-	w.Referee.on(core.TaskID{Job: "job-4", Index: 2}, worker)
+	w.Referee.on(model.TaskID{Job: "job-4", Index: 2}, worker)
 	require.Len(t, w.Referee.Broken, 1)
 	assert.Contains(t, w.Referee.Broken[0], "wrong_place", "no cards there")
 }
@@ -132,8 +133,8 @@
 		s := spec(id, "red", 1, 1)
 		s.Image, s.ImageGB = image, gb
 		w.Jobs[id] = &Job{Spec: s, Run: time.Hour, Finished: map[int]bool{}, Saved: map[int]time.Duration{}}
-		worker.launch(core.Command{Task: core.TaskID{Job: id}, Attempt: 1}, nil)
-		return worker.tasks[core.TaskID{Job: id}]
+		worker.launch(core.Command{Task: model.TaskID{Job: id}, Attempt: 1}, nil)
+		return worker.tasks[model.TaskID{Job: id}]
 	}
 	one, two, same := launch("job-1", "x", 1), launch("job-2", "y", 2), launch("job-3", "x", 1)
 	w.Run(1900 * time.Millisecond)
--- a/internal/fake/walk.go
+++ b/internal/fake/walk.go
@@ -3,8 +3,7 @@
 import (
 	"fmt"
 	"iter"
-
-	"roadcleat/internal/core"
+	"roadcleat/internal/model"
 )
 
 // Pair is a meeting that the walk plays: a trouble at a phase of a step, and perhaps the
@@ -85,8 +84,8 @@
 // cancelled while it runs, and machines come and go.
 func SmallDay() Script {
 	job := func(at float64, id, team string, tasks int, cores, run float64, change func(*Request)) Request {
-		r := Request{At: at, ID: id, Run: run, Spec: core.JobSpec{Class: "work", Team: team, Priority: 1, Tasks: tasks,
-			Need: core.Resources{Cores: cores, MemoryGB: 1}, Spot: true, Image: "x", ImageGB: 0.5, EstimateSeconds: run}}
+		r := Request{At: at, ID: id, Run: run, Spec: model.JobSpec{Class: "work", Team: team, Priority: 1, Tasks: tasks,
+			Need: model.Resources{Cores: cores, MemoryGB: 1}, Spot: true, Image: "x", ImageGB: 0.5, EstimateSeconds: run}}
 		if change != nil {
 			change(&r)
 		}
--- a/internal/fake/worker.go
+++ b/internal/fake/worker.go
@@ -5,6 +5,7 @@
 	"time"
 
 	"roadcleat/internal/core"
+	"roadcleat/internal/model"
 )
 
 // Worker is a machine with its worker.
@@ -31,12 +32,12 @@
 	nextAt                  time.Duration
 	dirty                   bool
 
-	tasks map[core.TaskID]*running
+	tasks map[model.TaskID]*running
 	disk  disk
 }
 
 type running struct {
-	id      core.TaskID
+	id      model.TaskID
 	attempt uint64
 	state   core.TaskState
 	cause   core.ExitCause
@@ -47,7 +48,7 @@
 
 func newWorker(w *World, name, typ, zone string, spot bool) *Worker {
 	return &Worker{w: w, name: name, typ: typ, zone: zone, spot: spot, born: w.Now, incarnation: 1, Slow: 1,
-		tasks: map[core.TaskID]*running{}}
+		tasks: map[model.TaskID]*running{}}
 }
 
 func (k *Worker) boot() {
@@ -121,7 +122,7 @@
 	if k.spotNotice > 0 {
 		r.SpotNotice = max((k.spotNotice - k.w.Now).Seconds(), 0)
 	}
-	var ids []core.TaskID
+	var ids []model.TaskID
 	for id := range k.tasks {
 		ids = append(ids, id)
 	}
--- a/internal/fake/world.go
+++ b/internal/fake/world.go
@@ -10,6 +10,7 @@
 	"time"
 
 	"roadcleat/internal/core"
+	"roadcleat/internal/model"
 )
 
 // World is one simulated day. Everything in it happens on one goroutine.
@@ -89,8 +90,8 @@
 	return core.Config{
 		Zones: []string{"a", "b", "c"},
 		Teams: []core.Team{
-			{Name: "red", Guarantee: core.Resources{Cores: 16}, Limit: core.Resources{Cores: 40}},
-			{Name: "blue", Guarantee: core.Resources{Cores: 8}, Limit: core.Resources{Cores: 16}},
+			{Name: "red", Guarantee: model.Resources{Cores: 16}, Limit: model.Resources{Cores: 40}},
+			{Name: "blue", Guarantee: model.Resources{Cores: 8}, Limit: model.Resources{Cores: 16}},
 		},
 		HeartbeatInterval: 3 * time.Second, WorkerLease: 14 * time.Second, CancelWithin: 44 * time.Second, ListLag: 3 * time.Second,
 		MaxTxnOps: 12, MaxValueBytes: 16 << 10,
--- a/internal/fake/zones_test.go
+++ b/internal/fake/zones_test.go
@@ -10,13 +10,14 @@
 	"github.com/stretchr/testify/require"
 
 	"roadcleat/internal/core"
+	"roadcleat/internal/model"
 )
 
 func TestABurstOnALargePartHasCheapMachinesHiredAtOnce(t *testing.T) {
 	// A rule that hired for queues only that outlast half a boot had bursts of
 	// urgent work wait on swanlic-wa-grown's inc-024c: the next of the burst came
 	// when no machine was on its way.
-	w := oneController(t, 41, func(c *core.Config) { c.Teams[0].Limit = core.Resources{Cores: 2000} })
+	w := oneController(t, 41, func(c *core.Config) { c.Teams[0].Limit = model.Resources{Cores: 2000} })
 	for k := range w.Cloud.Room {
 		w.Cloud.Room[k] = 60
 	}
@@ -97,7 +98,7 @@
 	// dear machines while most cheap ones of the third were never rented.
 	cfg := Settings()
 	cfg.Zones = cfg.Zones[:2]
-	cfg.Teams[0].Limit = core.Resources{Cores: 4000}
+	cfg.Teams[0].Limit = model.Resources{Cores: 4000}
 	w := New(47, cfg)
 	t.Cleanup(func() { assert.Empty(t, w.Referee.Broken, "rules") })
 	room := func(zone string, spot bool, n int) {
--- a/internal/peer/messages.go
+++ b/internal/peer/messages.go
@@ -1,6 +1,9 @@
 package peer
 
-import "roadcleat/internal/core"
+import (
+	"roadcleat/internal/core"
+	"roadcleat/internal/model"
+)
 
 // The messages as gob carries them. Gob identifies fields by their Go names, so these
 // names may never change: controllers of two versions exchange messages while one version
@@ -205,12 +208,12 @@
 	return out
 }
 
-func encodeResources(r core.Resources) gobResources {
+func encodeResources(r model.Resources) gobResources {
 	return gobResources{Cores: r.Cores, Cards: r.GPUs, Mem: r.MemoryGB}
 }
 
-func decodeResources(r gobResources) core.Resources {
-	return core.Resources{Cores: r.Cores, GPUs: r.Cards, MemoryGB: r.Mem}
+func decodeResources(r gobResources) model.Resources {
+	return model.Resources{Cores: r.Cores, GPUs: r.Cards, MemoryGB: r.Mem}
 }
 
 func encodeHostGroup(g core.HostGroup) gobHostGroup {
--- a/internal/plan/device.go
+++ b/internal/plan/device.go
@@ -5,34 +5,14 @@
 
 import (
 	"cmp"
+	"roadcleat/internal/model"
 	"slices"
 )
 
-// Amount is what a task takes of its machine.
-type Amount struct{ Cores, Cards, Mem float64 }
-
-// slack forgives rounding of decimal amounts.
-const slack = 1e-6
-
-// Plus adds two amounts.
-func (a Amount) Plus(b Amount) Amount {
-	return Amount{a.Cores + b.Cores, a.Cards + b.Cards, a.Mem + b.Mem}
-}
-
-// Minus subtracts b from a.
-func (a Amount) Minus(b Amount) Amount {
-	return Amount{a.Cores - b.Cores, a.Cards - b.Cards, a.Mem - b.Mem}
-}
-
-// Within says whether a fits into b.
-func (a Amount) Within(b Amount) bool {
-	return a.Cores <= b.Cores+slack && a.Cards <= b.Cards+slack && a.Mem <= b.Mem+slack
-}
-
 // Use is room taken from Start until End, in seconds.
 type Use struct {
 	Start, End float64
-	Amount     Amount
+	Amount     model.Resources
 }
 
 // Held is an image of a machine and when it is there.
@@ -43,15 +23,15 @@
 
 // Device is one machine as the programme sees it.
 type Device struct {
-	Kind    int     // machine type, zone and kind as a dense index of the caller's
-	Total   Amount  // what the machine has
-	Up      float64 // when it can first take work
-	Uses    []Use   // room taken by running and planned work
-	Images  []Held  // images there or being fetched
-	FetchAt float64 // when the fetches queued there are through
-	SPerGB  float64 // seconds to fetch one GB
-	Slow    float64 // factor on run times, 1 for an ordinary machine
-	Penalty float64 // seconds added when choices are compared, for cost
+	Kind    int             // machine type, zone and kind as a dense index of the caller's
+	Total   model.Resources // what the machine has
+	Up      float64         // when it can first take work
+	Uses    []Use           // room taken by running and planned work
+	Images  []Held          // images there or being fetched
+	FetchAt float64         // when the fetches queued there are through
+	SPerGB  float64         // seconds to fetch one GB
+	Slow    float64         // factor on run times, 1 for an ordinary machine
+	Penalty float64         // seconds added when choices are compared, for cost
 
 	levels []level // of Uses, nil when they have changed
 }
@@ -59,7 +39,7 @@
 // level is what is in use from a moment until the next level's.
 type level struct {
 	at   float64
-	used Amount
+	used model.Resources
 }
 
 // cost is what the choice of this device costs beside time, in seconds.
@@ -97,11 +77,11 @@
 	}
 	out := make([]level, 0, 2*len(d.Uses)+1)
 	for _, u := range d.Uses {
-		out = append(out, level{u.Start, u.Amount}, level{u.End, Amount{}.Minus(u.Amount)})
+		out = append(out, level{u.Start, u.Amount}, level{u.End, model.Resources{}.Minus(u.Amount)})
 	}
 	slices.SortFunc(out, func(a, b level) int { return cmp.Compare(a.at, b.at) })
 	n := 0
-	var sum Amount
+	var sum model.Resources
 	for _, l := range out {
 		sum = sum.Plus(l.used)
 		if n > 0 && out[n-1].at == l.at {
@@ -115,8 +95,8 @@
 }
 
 // inUse sums what is in use at time t.
-func (d *Device) inUse(t float64) Amount {
-	var sum Amount
+func (d *Device) inUse(t float64) model.Resources {
+	var sum model.Resources
 	for _, u := range d.Uses {
 		if u.Start <= t && t < u.End {
 			sum = sum.Plus(u.Amount)
@@ -139,7 +119,7 @@
 		return 0
 	}
 	free, n := d.Total.Minus(d.inUse(from)), 0
-	for n < 64 && s.Need.Within(free) {
+	for n < 64 && s.Need.FitsIn(free) {
 		free, n = free.Minus(s.Need), n+1
 	}
 	return n
@@ -149,7 +129,7 @@
 // finish = max(avail, ready) + comp, where avail is when there is room and the
 // image is there, fetches already queued on the machine included.
 func (d *Device) try(s *Step, ready float64) (start, finish float64, ok bool) {
-	if !s.Need.Within(d.Total) {
+	if !s.Need.FitsIn(d.Total) {
 		return 0, 0, false
 	}
 	t := max(ready, d.Up)
@@ -158,7 +138,7 @@
 	for i+1 < len(levels) && levels[i+1].at <= t {
 		i++
 	}
-	room := func(i int) bool { return i < 0 || s.Need.Plus(levels[i].used).Within(d.Total) }
+	room := func(i int) bool { return i < 0 || s.Need.Plus(levels[i].used).FitsIn(d.Total) }
 	for {
 		end := d.endFrom(s, t)
 		full := i // the first level without room before the end
@@ -198,12 +178,12 @@
 // bound is a time before which no task of s can end on the device, at a
 // fraction of the cost of try. It is false when a task never fits.
 func (d *Device) bound(s *Step, ready float64) (float64, bool) {
-	if !s.Need.Within(d.Total) {
+	if !s.Need.FitsIn(d.Total) {
 		return 0, false
 	}
 	from := max(ready, d.Up)
 	next := -1.0 // the first moment at which room is given back
-	var used Amount
+	var used model.Resources
 	for i := range d.Uses {
 		if u := &d.Uses[i]; u.Start <= from && from < u.End {
 			used = used.Plus(u.Amount)
@@ -212,7 +192,7 @@
 			}
 		}
 	}
-	if !used.Plus(s.Need).Within(d.Total) {
+	if !used.Plus(s.Need).FitsIn(d.Total) {
 		from = next
 	}
 	return d.endFrom(s, from), true
--- a/internal/plan/plan.go
+++ b/internal/plan/plan.go
@@ -1,13 +1,16 @@
 package plan
 
-import "sort"
+import (
+	"roadcleat/internal/model"
+	"sort"
+)
 
 // Step is one node of a pipeline: Tasks equal tasks that start when all steps
 // named in Inputs have ended.
 type Step struct {
 	Inputs  []int
 	Tasks   int
-	Need    Amount
+	Need    model.Resources
 	Comp    float64 // estimated run time on an ordinary machine
 	Image   int     // dense index, or -1 for none
 	ImageGB float64
--- a/internal/plan/plan_test.go
+++ b/internal/plan/plan_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"math/rand/v2"
+	"roadcleat/internal/model"
 	"testing"
 
 	"github.com/stretchr/testify/assert"
@@ -36,11 +37,11 @@
 	for round := 0; round < 150; round++ {
 		devices := make([]*Device, 2+rng.IntN(2))
 		for d := range devices {
-			devices[d] = &Device{Total: Amount{Cores: float64(1 + rng.IntN(3))}, SPerGB: 5, Slow: 1 + rng.Float64()/2, Up: float64(rng.IntN(20))}
+			devices[d] = &Device{Total: model.Resources{Cores: float64(1 + rng.IntN(3))}, SPerGB: 5, Slow: 1 + rng.Float64()/2, Up: float64(rng.IntN(20))}
 		}
 		steps := make([]Step, 2+rng.IntN(3))
 		for i := range steps {
-			steps[i] = Step{Tasks: 1, Need: Amount{Cores: 1}, Comp: float64(1 + rng.IntN(30)), Image: rng.IntN(3) - 1, ImageGB: 2}
+			steps[i] = Step{Tasks: 1, Need: model.Resources{Cores: 1}, Comp: float64(1 + rng.IntN(30)), Image: rng.IntN(3) - 1, ImageGB: 2}
 			for j := 0; j < i; j++ {
 				if rng.IntN(2) == 0 {
 					steps[i].Inputs = append(steps[i].Inputs, j)
@@ -55,10 +56,10 @@
 }
 
 func TestQueuedFetchesAndQueueWaitCount(t *testing.T) {
-	busy := &Device{Total: Amount{Cores: 4}, SPerGB: 5, Images: []Held{{0, 0}},
-		Uses: []Use{{0, 30, Amount{Cores: 4}}}}
-	bare := &Device{Total: Amount{Cores: 4}, SPerGB: 5, FetchAt: 10}
-	step := Step{Tasks: 1, Need: Amount{Cores: 2}, Comp: 20, ImageGB: 2}
+	busy := &Device{Total: model.Resources{Cores: 4}, SPerGB: 5, Images: []Held{{0, 0}},
+		Uses: []Use{{0, 30, model.Resources{Cores: 4}}}}
+	bare := &Device{Total: model.Resources{Cores: 4}, SPerGB: 5, FetchAt: 10}
+	step := Step{Tasks: 1, Need: model.Resources{Cores: 2}, Comp: 20, ImageGB: 2}
 	got := Solve([]Step{step}, []*Device{busy, bare}, 0, 8)
 	require.True(t, got.Complete)
 	assert.Equal(t, 1, got.Placements[0].Device)
@@ -71,9 +72,9 @@
 }
 
 func TestShortWorkFillsGapsBeforeReservedRoom(t *testing.T) {
-	d := &Device{Total: Amount{Cores: 8}, Uses: []Use{{0, 50, Amount{Cores: 4}}}}
-	big := Step{Need: Amount{Cores: 8}, Comp: 10, Image: -1}
-	small := Step{Need: Amount{Cores: 2}, Comp: 10, Image: -1}
+	d := &Device{Total: model.Resources{Cores: 8}, Uses: []Use{{0, 50, model.Resources{Cores: 4}}}}
+	big := Step{Need: model.Resources{Cores: 8}, Comp: 10, Image: -1}
+	small := Step{Need: model.Resources{Cores: 2}, Comp: 10, Image: -1}
 	var at []float64
 	visit := func(p Placement) bool { at = append(at, p.Start); return true }
 	Spread(&big, 1, []*Device{d}, 0, visit)
@@ -82,9 +83,9 @@
 }
 
 func TestGangWaitsUntilAllItsTasksHaveRoom(t *testing.T) {
-	free := &Device{Total: Amount{Cores: 4}}
-	busy := &Device{Total: Amount{Cores: 4}, Uses: []Use{{0, 30, Amount{Cores: 4}}}}
-	gang := Step{Need: Amount{Cores: 4}, Comp: 10, Image: -1, Gang: true}
+	free := &Device{Total: model.Resources{Cores: 4}}
+	busy := &Device{Total: model.Resources{Cores: 4}, Uses: []Use{{0, 30, model.Resources{Cores: 4}}}}
+	gang := Step{Need: model.Resources{Cores: 4}, Comp: 10, Image: -1, Gang: true}
 	var starts []float64
 	require.Equal(t, 2, Spread(&gang, 2, []*Device{free, busy}, 0, func(p Placement) bool { starts = append(starts, p.Start); return true }))
 	assert.Equal(t, []float64{30, 30}, starts)
@@ -93,16 +94,16 @@
 func TestFrontierBoundStillGivesACompleteSchedule(t *testing.T) {
 	steps := make([]Step, 12)
 	for i := range steps {
-		steps[i] = Step{Tasks: 1, Need: Amount{Cores: 1}, Comp: float64(1 + i%4), Image: -1}
+		steps[i] = Step{Tasks: 1, Need: model.Resources{Cores: 1}, Comp: float64(1 + i%4), Image: -1}
 		if i > 1 {
 			steps[i].Inputs = []int{i - 2}
 		}
 	}
-	devices := []*Device{{Total: Amount{Cores: 1}}, {Total: Amount{Cores: 1}}, {Total: Amount{Cores: 1}}}
+	devices := []*Device{{Total: model.Resources{Cores: 1}}, {Total: model.Resources{Cores: 1}}, {Total: model.Resources{Cores: 1}}}
 	got := Solve(steps, devices, 0, 16)
 	require.True(t, got.Complete)
 	assert.Len(t, got.Placements, 12)
-	assert.False(t, Solve([]Step{{Tasks: 1, Need: Amount{Cores: 9}}}, devices, 0, 16).Complete)
+	assert.False(t, Solve([]Step{{Tasks: 1, Need: model.Resources{Cores: 9}}}, devices, 0, 16).Complete)
 }
 
 // plainly is Spread as the programme states it: every machine tried for every task.
@@ -125,10 +126,10 @@
 	for round := 0; round < 300; round++ {
 		var one, two []*Device
 		for range 1 + rng.IntN(12) {
-			d := &Device{Kind: rng.IntN(3), Total: Amount{Cores: float64(2 + 2*rng.IntN(4)), Mem: 32}, SPerGB: 2, Slow: 1,
+			d := &Device{Kind: rng.IntN(3), Total: model.Resources{Cores: float64(2 + 2*rng.IntN(4)), MemoryGB: 32}, SPerGB: 2, Slow: 1,
 				Up: float64(rng.IntN(3) * 10), FetchAt: float64(rng.IntN(20)), Penalty: float64(rng.IntN(2))}
 			for range rng.IntN(5) {
-				d.Uses = append(d.Uses, Use{0, float64(rng.IntN(40)), Amount{Cores: 1, Mem: 4}})
+				d.Uses = append(d.Uses, Use{0, float64(rng.IntN(40)), model.Resources{Cores: 1, MemoryGB: 4}})
 			}
 			if rng.IntN(2) == 0 {
 				d.Images = append(d.Images, Held{rng.IntN(3), float64(rng.IntN(15))})
@@ -136,7 +137,7 @@
 			one, two = append(one, d), append(two, d.clone())
 		}
 		for range 4 {
-			s := &Step{Need: Amount{Cores: float64(1 + rng.IntN(4)), Mem: 4}, Comp: float64(1 + rng.IntN(20)), Image: rng.IntN(4) - 1, ImageGB: 3,
+			s := &Step{Need: model.Resources{Cores: float64(1 + rng.IntN(4)), MemoryGB: 4}, Comp: float64(1 + rng.IntN(20)), Image: rng.IntN(4) - 1, ImageGB: 3,
 				Cost: func(kind int) float64 { return float64(kind) * 3 }, Allowed: func(kind int) bool { return kind != 2 }}
 			n, want := 1+rng.IntN(20), []Placement(nil)
 			var got []Placement
@@ -148,9 +149,9 @@
 }
 
 func TestWorkThatMustStartNowTakesFreeMachinesOnly(t *testing.T) {
-	cached := &Device{Total: Amount{Cores: 2}, SPerGB: 10, Images: []Held{{0, 0}}, Uses: []Use{{0, 5, Amount{Cores: 2}}}}
-	free := &Device{Total: Amount{Cores: 4}, SPerGB: 10}
-	step := Step{Need: Amount{Cores: 2}, Comp: 20, ImageGB: 3}
+	cached := &Device{Total: model.Resources{Cores: 2}, SPerGB: 10, Images: []Held{{0, 0}}, Uses: []Use{{0, 5, model.Resources{Cores: 2}}}}
+	free := &Device{Total: model.Resources{Cores: 4}, SPerGB: 10}
+	step := Step{Need: model.Resources{Cores: 2}, Comp: 20, ImageGB: 3}
 	var at []int
 	visit := func(p Placement) bool { at = append(at, p.Device); return len(at) < 1 }
 	require.Equal(t, 1, Spread(&step, 4, []*Device{cached, free}, 0, visit))
@@ -165,9 +166,9 @@
 	// Found by a random day: a gang waited for ever beside idle machines.
 	dear := func(kind int) float64 { return float64(kind) * 3 }
 	fleet := func() []*Device {
-		return []*Device{{Total: Amount{Cores: 4}}, {Kind: 1, Total: Amount{Cores: 16}}, {Kind: 1, Total: Amount{Cores: 4}}}
+		return []*Device{{Total: model.Resources{Cores: 4}}, {Kind: 1, Total: model.Resources{Cores: 16}}, {Kind: 1, Total: model.Resources{Cores: 4}}}
 	}
-	s := Step{Gang: true, Tasks: 3, Need: Amount{Cores: 4}, Comp: 1, Image: -1, Cost: dear}
+	s := Step{Gang: true, Tasks: 3, Need: model.Resources{Cores: 4}, Comp: 1, Image: -1, Cost: dear}
 	var starts []float64
 	placed := Spread(&s, 3, fleet(), 10, func(p Placement) bool { starts = append(starts, p.Start); return true })
 	assert.Equal(t, 3, placed)
--- a/internal/service/service.go
+++ b/internal/service/service.go
@@ -20,6 +20,7 @@
 	"roadcleat/internal/config"
 	"roadcleat/internal/core"
 	"roadcleat/internal/metrics"
+	"roadcleat/internal/model"
 	"roadcleat/internal/peer"
 	rt "roadcleat/internal/runtime"
 	"roadcleat/internal/state"
@@ -129,8 +130,8 @@
 		cfg.Peers = append(cfg.Peers, core.PeerConfig{Label: other.Label, Zone: other.Location})
 	}
 	for _, t := range d.Teams {
-		cfg.Teams = append(cfg.Teams, core.Team{Name: t.Name, Guarantee: core.Resources{Cores: t.CPUs, GPUs: t.GPUs},
-			Limit: core.Resources{Cores: t.CPUsMax, GPUs: t.GPUsMax}})
+		cfg.Teams = append(cfg.Teams, core.Team{Name: t.Name, Guarantee: model.Resources{Cores: t.CPUs, GPUs: t.GPUs},
+			Limit: model.Resources{Cores: t.CPUsMax, GPUs: t.GPUsMax}})
 	}
 	for _, ob := range d.Objectives {
 		switch {
--- a/internal/wire/cloud.go
+++ b/internal/wire/cloud.go
@@ -5,6 +5,7 @@
 	"fmt"
 
 	"roadcleat/internal/core"
+	"roadcleat/internal/model"
 )
 
 type breed struct {
@@ -18,14 +19,14 @@
 }
 
 // DecodeCatalog reads the machine types.
-func DecodeCatalog(body []byte) ([]core.MachineType, error) {
+func DecodeCatalog(body []byte) ([]model.MachineType, error) {
 	var c struct{ Breeds []breed }
 	if err := json.Unmarshal(body, &c); err != nil {
 		return nil, fmt.Errorf("catalogue: %w", err)
 	}
-	var out []core.MachineType
+	var out []model.MachineType
 	for _, b := range c.Breeds {
-		out = append(out, core.MachineType{Name: b.Name, Capacity: core.Resources{Cores: b.Cores, GPUs: b.Cards, MemoryGB: b.MemGb},
+		out = append(out, model.MachineType{Name: b.Name, Capacity: model.Resources{Cores: b.Cores, GPUs: b.Cards, MemoryGB: b.MemGb},
 			CacheGB: b.CacheGb, FetchGBPerSecond: b.PullGbPerS, Price: b.Rate, SpotPrice: b.MarketPrice, BootSeconds: b.BootS, Zones: b.Yards})
 	}
 	return out, nil
@@ -57,7 +58,7 @@
 }
 
 // DecodeHosts reads a page of the machine list and whether more follow.
-func DecodeHosts(body []byte) ([]core.ListedHost, bool, error) {
+func DecodeHosts(body []byte) ([]model.ListedHost, bool, error) {
 	var l struct {
 		Hosts []struct {
 			Ref, Endpoint, Breed, Yard string
@@ -70,9 +71,9 @@
 	if err := json.Unmarshal(body, &l); err != nil {
 		return nil, false, fmt.Errorf("machine list: %w", err)
 	}
-	var out []core.ListedHost
+	var out []model.ListedHost
 	for _, h := range l.Hosts {
-		out = append(out, core.ListedHost{Name: h.Ref, Address: h.Endpoint, Type: h.Breed, Zone: h.Yard, Spot: h.Loaners,
+		out = append(out, model.ListedHost{Name: h.Ref, Address: h.Endpoint, Type: h.Breed, Zone: h.Yard, Spot: h.Loaners,
 			State: h.Standing, RentedSeconds: h.HeldS})
 	}
 	return out, l.Truncated, nil
--- a/internal/wire/users.go
+++ b/internal/wire/users.go
@@ -8,11 +8,10 @@
 	"fmt"
 	"math"
 	"regexp"
+	"roadcleat/internal/model"
 	"slices"
 	"strconv"
 	"strings"
-
-	"roadcleat/internal/core"
 )
 
 // MaxBody is the largest request body of the protocol.
@@ -37,8 +36,8 @@
 // DecodeSubmission reads a submission. When the body is malformed the error names the field
 // and what is wrong with it, and the spec still carries the job's id if that much could
 // be read: the job may be known.
-func DecodeSubmission(body []byte) (core.JobSpec, error) {
-	var spec core.JobSpec
+func DecodeSubmission(body []byte) (model.JobSpec, error) {
+	var spec model.JobSpec
 	m, err := members(body)
 	if ref := ""; json.Unmarshal(m["Ref"], &ref) == nil && ValidJobID(ref) {
 		spec.ID = ref
@@ -167,14 +166,14 @@
 }
 
 // EncodeJobStatus writes a job's state as users see it.
-func EncodeJobStatus(r core.JobStatus) []byte {
+func EncodeJobStatus(r model.JobStatus) []byte {
 	s := standing{Ref: r.ID, Done: r.Done, Running: r.Running}
 	switch r.State {
-	case core.JobRunning:
+	case model.JobRunning:
 		s.Standing = "running"
-	case core.JobDone:
+	case model.JobDone:
 		s.Standing = "done"
-	case core.JobCancelled:
+	case model.JobCancelled:
 		s.Standing = "withdrawn"
 	default:
 		s.Standing = "pending"
@@ -184,10 +183,10 @@
 }
 
 // taskName writes a task's name; parseTask reads it.
-func taskName(t core.TaskID) string { return t.Job + "/" + strconv.Itoa(t.Index) }
+func taskName(t model.TaskID) string { return t.Job + "/" + strconv.Itoa(t.Index) }
 
-func parseTask(s string) (core.TaskID, bool) {
+func parseTask(s string) (model.TaskID, bool) {
 	job, idx, ok := strings.Cut(s, "/")
 	i, err := strconv.Atoi(idx)
-	return core.TaskID{Job: job, Index: i}, ok && err == nil && i >= 0
+	return model.TaskID{Job: job, Index: i}, ok && err == nil && i >= 0
 }
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -9,6 +9,7 @@
 	"github.com/stretchr/testify/require"
 
 	"roadcleat/internal/core"
+	"roadcleat/internal/model"
 )
 
 const submissionBody = `{"Ref":"job-000412","Docket":"train","Desk":"vision","Form":"array","Urgency":"high","Sheets":16,
@@ -18,7 +19,7 @@
 func TestSubmissionIsRead(t *testing.T) {
 	s, err := DecodeSubmission([]byte(submissionBody))
 	require.NoError(t, err)
-	assert.Equal(t, core.Resources{Cores: 8, GPUs: 1, MemoryGB: 64}, s.Need)
+	assert.Equal(t, model.Resources{Cores: 8, GPUs: 1, MemoryGB: 64}, s.Need)
 	assert.Equal(t, 1, s.Priority)
 	assert.Equal(t, []string{"g8"}, s.Types)
 	assert.True(t, s.OneZone && s.Spot && !s.SpreadZones)
@@ -53,9 +54,9 @@
 {"Sheet":"job-000398/0","Try":1,"Standing":"ended","Cause":"done"}]}`))
 	require.NoError(t, err)
 	assert.Negative(t, r.SpotNotice)
-	assert.Equal(t, core.TaskStatus{Task: core.TaskID{Job: "job-000398"}, Attempt: 1, State: core.TaskExited, Cause: core.ExitDone}, r.Tasks[1])
-	got := EncodeHeartbeatReply(41, []core.Command{{Verb: core.VerbLaunch, Task: core.TaskID{Job: "job-000412", Index: 4}, Attempt: 2},
-		{Verb: core.VerbStop, Task: core.TaskID{Job: "job-000377", Index: 1}, Attempt: 1}, {Verb: core.VerbForget, Task: core.TaskID{Job: "job-000398"}, Attempt: 1}})
+	assert.Equal(t, core.TaskStatus{Task: model.TaskID{Job: "job-000398"}, Attempt: 1, State: core.TaskExited, Cause: core.ExitDone}, r.Tasks[1])
+	got := EncodeHeartbeatReply(41, []core.Command{{Verb: core.VerbLaunch, Task: model.TaskID{Job: "job-000412", Index: 4}, Attempt: 2},
+		{Verb: core.VerbStop, Task: model.TaskID{Job: "job-000377", Index: 1}, Attempt: 1}, {Verb: core.VerbForget, Task: model.TaskID{Job: "job-000398"}, Attempt: 1}})
 	assert.JSONEq(t, `{"Baton":41,"Orders":[{"Verb":"launch","Sheet":"job-000412/4","Try":2},
 {"Verb":"halt","Sheet":"job-000377/1","Try":1,"LeewayS":0},{"Verb":"clear","Sheet":"job-000398/0","Try":1}]}`, string(got))
 	_, err = DecodeWorkerStatus([]byte(`{"Host":"vm-1","Yard":"a","Sheets":[{"Sheet":"job"}]}`))
