--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -1,10 +1,10 @@
 package core
 
 import (
-	"encoding/json"
 	"log/slog"
 	"math/rand/v2"
 	"roadcleat/internal/model"
+	"roadcleat/internal/records"
 	"slices"
 	"strings"
 	"time"
@@ -168,7 +168,7 @@
 		rng:  rand.New(rand.NewPCG(cfg.Seed, cfg.Epoch)),
 		jobs: map[string]*Job{}, finished: map[string]model.JobState{}, submissionsByJob: map[string]*submission{}, openQueries: map[string][]uint64{},
 		jobCounts: map[string][]JobCounts{}, foreignHeartbeats: map[string]map[string]time.Duration{}, gossipSentAt: map[uint64]time.Duration{}, fetchSecondsPerGB: map[int]float64{},
-		shardWatch: watchState{prefix: "part/"}, jobWatch: watchState{prefix: "job/"},
+		shardWatch: watchState{prefix: records.ShardPrefix}, jobWatch: watchState{prefix: records.JobPrefix},
 	}
 	c.cfg.Tuning = cfg.Tuning.Effective(cfg.HeartbeatInterval, cfg.WorkerLease)
 	c.gossipSeq = cfg.Epoch << 32 // no number of an earlier life comes again
@@ -482,20 +482,20 @@
 	}
 }
 
-// machineTypesKey holds the machine types as the cloud last told them. A controller
-// that starts while the cloud is out of reach would otherwise know of none and
-// could take no request until the cloud is back.
-const machineTypesKey = "types"
-
+// readStoredTypes learns the machine types from the state service, while the cloud has not
+// told any.
 func (c *Core) readStoredTypes() {
 	c.typesPending = true
-	c.readKey(machineTypesKey, true, func(res ReadResult) {
+	c.readKey(records.MachineTypesKey, true, func(res ReadResult) {
 		c.typesPending = false
 		if res.Outcome != OutcomeOK {
 			return
 		}
-		var types []model.MachineType
-		if c.typesRevision = res.Item.Revision; res.Found && json.Unmarshal(res.Item.Value, &types) == nil && len(c.types) == 0 {
+		c.typesRevision = res.Item.Revision
+		if !res.Found || len(c.types) > 0 {
+			return
+		}
+		if types, err := records.DecodeMachineTypes(res.Item.Value); err == nil {
 			c.addMachineTypes(types)
 			c.storedTypes = typesWithoutPrices(types)
 		}
@@ -510,8 +510,8 @@
 		return
 	}
 	c.typesPending = true
-	value, _ := json.Marshal(c.types)
-	t := Txn{Conditions: []Condition{{machineTypesKey, c.typesRevision}}, Mutations: []Mutation{{Key: machineTypesKey, Value: value}}}
+	value := records.EncodeMachineTypes(c.types)
+	t := Txn{Conditions: []Condition{{records.MachineTypesKey, c.typesRevision}}, Mutations: []Mutation{{Key: records.MachineTypesKey, Value: value}}}
 	c.commit(t, false, func(res CommitResult) {
 		c.typesPending = false
 		switch res.Outcome {
@@ -519,10 +519,12 @@
 			c.typesRevision, c.storedTypes = res.Revision, plain
 		case OutcomeRefused, OutcomeUnknown:
 			c.typesPending = true
-			c.readKey(machineTypesKey, false, func(r ReadResult) {
+			c.readKey(records.MachineTypesKey, false, func(r ReadResult) {
 				c.typesPending = false
-				var types []model.MachineType
-				if r.Outcome == OutcomeOK && json.Unmarshal(r.Item.Value, &types) == nil {
+				if r.Outcome != OutcomeOK {
+					return
+				}
+				if types, err := records.DecodeMachineTypes(r.Item.Value); err == nil {
 					c.typesRevision, c.storedTypes = r.Item.Revision, typesWithoutPrices(types)
 				}
 			})
@@ -537,8 +539,7 @@
 		plain[i].Price, plain[i].SpotPrice = 0, 0
 	}
 	slices.SortFunc(plain, func(a, b model.MachineType) int { return strings.Compare(a.Name, b.Name) })
-	b, _ := json.Marshal(plain)
-	return string(b)
+	return string(records.EncodeMachineTypes(plain))
 }
 
 // kindIndex is the dense index of a machine's zone, type and kind.
--- a/internal/core/dealing.go
+++ b/internal/core/dealing.go
@@ -8,6 +8,7 @@
 
 	"roadcleat/internal/model"
 	"roadcleat/internal/plan"
+	"roadcleat/internal/records"
 )
 
 // maxHostsPerGroup bounds how many machines of a kind a peer's word is believed for in a zone.
@@ -66,7 +67,7 @@
 
 // distribute splits a new job over the parts: each task to the part of its
 // earliest-finish machine, as the job's limits on zones allow.
-func (c *Core) distribute(spec *model.JobSpec) map[string]taskRanges {
+func (c *Core) distribute(spec *model.JobSpec) map[string]records.TaskRanges {
 	job := &Job{id: spec.ID, spec: *spec, image: -1, class: c.classes.indexOf(spec.Class), team: c.teams.lookup(spec.Team)}
 	if spec.Image != "" {
 		job.image = c.imageIndex(spec)
@@ -112,11 +113,11 @@
 	}
 	limitShards(counts, c.cfg.MaxTxnOps-1)
 	c.recordDistribution(job, counts)
-	split := map[string]taskRanges{}
+	split := map[string]records.TaskRanges{}
 	at := 0
 	for z, n := range counts {
 		if n > 0 {
-			split[c.shards[z].name] = taskRanges{{at, at + n}}
+			split[c.shards[z].name] = records.TaskRanges{{at, at + n}}
 			at += n
 		}
 	}
--- a/internal/core/explain.go
+++ b/internal/core/explain.go
@@ -51,7 +51,7 @@
 			continue
 		}
 		n := assignment.counts()
-		share := ShardExplanation{Shard: shard.name, Owner: c.cfg.Label, OwnedHere: true, Done: assignment.done.count(), Waiting: n.Waiting, RunningCount: n.Running}
+		share := ShardExplanation{Shard: shard.name, Owner: c.cfg.Label, OwnedHere: true, Done: assignment.done.Count(), Waiting: n.Waiting, RunningCount: n.Running}
 		share.Reason, share.Text = c.whyMissing(shard, assignment, n, c.nextHostsUp(shard))
 		for _, t := range assignment.tasks {
 			share.Running = append(share.Running, fmt.Sprintf("%d on %s (%s)", t.id.Index, t.host.name, t.stateName()))
@@ -149,7 +149,7 @@
 		return plain(ReasonLaunchRefused)
 	case job.spec.Gang && len(assignment.tasks) > 0:
 		return plain(ReasonGangStopping)
-	case c.sizeBudgetOf(assignment).maxTasks(c.tasksPerUsualMachine(job), shard.longestName()) == 0:
+	case c.sizeBudgetOf(assignment).MaxTasks(c.tasksPerUsualMachine(job), shard.longestHostName()) == 0:
 		return ReasonRecordFull, fmt.Sprintf("%s (%d)", ReasonRecordFull, len(assignment.tasks))
 	case c.noHeartbeats(shard):
 		return plain(ReasonShardSilent)
--- a/internal/core/faults.go
+++ b/internal/core/faults.go
@@ -60,7 +60,7 @@
 
 // startableTasks is how many of a slice's waiting tasks should start now.
 func (c *Core) startableTasks(assignment *Assignment) int {
-	n := assignment.waiting.count()
+	n := assignment.waiting.Count()
 	switch {
 	case !c.isSuspect(assignment.job):
 		return n
--- a/internal/core/hosts.go
+++ b/internal/core/hosts.go
@@ -175,7 +175,7 @@
 	c.release(shard, task)
 	if task.assignment != nil && task.assignment.tasks[task.id.Index] == task {
 		delete(task.assignment.tasks, task.id.Index)
-		task.assignment.waiting.add(task.id.Index)
+		task.assignment.waiting.Add(task.id.Index)
 	}
 }
 
--- a/internal/core/jobs.go
+++ b/internal/core/jobs.go
@@ -1,10 +1,10 @@
 package core
 
 import (
-	"encoding/json"
 	"maps"
 	"math"
 	"roadcleat/internal/model"
+	"roadcleat/internal/records"
 	"slices"
 	"time"
 )
@@ -16,7 +16,7 @@
 	state           model.JobState // Pending while unfinished
 	revision        uint64
 	arrivalRevision uint64 // order of arrival
-	split           map[string]taskRanges
+	split           map[string]records.TaskRanges
 	moves           int
 	maxRecordBytes  int           // the most it takes in a slice's value, 0: not reckoned yet
 	knownSince      time.Duration // when it became known here
@@ -35,33 +35,13 @@
 	nextTrialAt     time.Duration // when the next trial may start
 }
 
-// jobRecord is a job as the state service holds it. The split is how its tasks
-// were first dealt out; once tasks have moved the slices alone tell.
-type jobRecord struct {
-	Spec  model.JobSpec         `json:"s"`
-	State string                `json:"st,omitempty"`
-	Split map[string]taskRanges `json:"p,omitempty"`
-	Moves int                   `json:"m,omitempty"`
-}
-
-const (
-	recordedDone      = "done"
-	recordedCancelled = "withdrawn"
-)
+func (j *Job) key() string { return records.JobKey(j.id) }
 
-// cancelledRecord is as much of a withdrawn job as others must know.
-var cancelledRecord, _ = json.Marshal(jobRecord{State: recordedCancelled})
-
-func (j *Job) key() string { return "job/" + j.id }
-
-func (j *Job) record(state string) *jobRecord {
-	return &jobRecord{j.spec, state, j.split, j.moves}
+func (j *Job) record(state string) *records.Job {
+	return &records.Job{Spec: j.spec, State: state, Split: j.split, Moves: j.moves}
 }
 
-func (j *Job) encode(state string) []byte {
-	v, _ := json.Marshal(j.record(state))
-	return v
-}
+func (j *Job) encode(state string) []byte { return j.record(state).Encode() }
 
 // applyJobRecord applies a job's key as read, written or told. Final standings are
 // kept for ever; they never change again.
@@ -73,19 +53,16 @@
 	if job != nil && revision <= job.revision {
 		return job
 	}
-	var v jobRecord
-	if json.Unmarshal(value, &v) != nil {
+	v, err := records.DecodeJob(value)
+	if err != nil {
 		return job
 	}
-	if v.State != "" {
-		s := model.JobDone
-		if v.State == recordedCancelled {
-			s = model.JobCancelled
-		}
-		if s == model.JobCancelled {
-			c.recentCancellations = append(c.recentCancellations, cancellationNotice{c.now, c.gossipSeq + 1, Item{"job/" + id, cancelledRecord, revision}})
+	if state, final := v.FinalState(); final {
+		if state == model.JobCancelled {
+			notice := Item{records.JobKey(id), records.CancelledJob(), revision}
+			c.recentCancellations = append(c.recentCancellations, cancellationNotice{c.now, c.gossipSeq + 1, notice})
 		}
-		c.finishJob(id, s)
+		c.finishJob(id, state)
 		return nil
 	}
 	if job == nil {
@@ -111,7 +88,7 @@
 			continue
 		}
 		if job.moves == 0 {
-			record, _ := json.Marshal(assignmentRecord{Waiting: r})
+			record := c.encodeAssignment(&records.Assignment{Waiting: r})
 			c.adoptAssignment(shard, id, record, revision)
 			continue
 		}
@@ -124,7 +101,7 @@
 func (c *Core) readAssignment(shard *Shard, id string) {
 	term := shard.term
 	valid := func() bool { return shard.owned && shard.loaded && shard.term == term }
-	c.readUntilAnswered(assignmentKey(shard.name, id), valid, func(res ReadResult) {
+	c.readUntilAnswered(records.AssignmentKey(shard.name, id), valid, func(res ReadResult) {
 		if res.Found {
 			c.applyAssignmentRecord(shard, id, res.Item.Value, res.Item.Revision)
 		}
@@ -157,7 +134,7 @@
 func (c *Core) compareRevisions(ids []string, revisions map[string]uint64, then func(out Outcome, rest, differ []string)) {
 	var t Txn
 	for _, id := range ids {
-		t.Conditions = append(t.Conditions, Condition{"job/" + id, revisions[id]})
+		t.Conditions = append(t.Conditions, Condition{records.JobKey(id), revisions[id]})
 	}
 	c.commit(t, true, func(res CommitResult) {
 		if res.Outcome != OutcomeRefused {
@@ -166,7 +143,7 @@
 		}
 		var rest, differ []string
 		for _, id := range ids {
-			if slices.Contains(res.FailedKeys, "job/"+id) {
+			if slices.Contains(res.FailedKeys, records.JobKey(id)) {
 				differ = append(differ, id)
 			} else {
 				rest = append(rest, id)
@@ -255,7 +232,7 @@
 	}
 	always := func() bool { return true }
 	c.compareAllRevisions(ids, revisions, always, func(string) {}, func(id string) {
-		c.readUntilAnswered("job/"+id, always, func(res ReadResult) {
+		c.readUntilAnswered(records.JobKey(id), always, func(res ReadResult) {
 			if res.Found {
 				c.applyJobRecord(id, res.Item.Value, res.Item.Revision)
 			}
@@ -284,7 +261,7 @@
 // submission is a job on its way into the store, with all who wait for it.
 type submission struct {
 	spec         model.JobSpec
-	split        map[string]taskRanges
+	split        map[string]records.TaskRanges
 	requests     []uint64
 	sent         bool     // its transaction is under way
 	lateRequests []uint64 // those who asked since then
@@ -406,7 +383,7 @@
 
 // lookUpJob answers with the job's state if the store has it, else does absent.
 func (c *Core) lookUpJob(req uint64, id string, absent func()) {
-	c.readKey("job/"+id, false, func(res ReadResult) {
+	c.readKey(records.JobKey(id), false, func(res ReadResult) {
 		switch {
 		case res.Outcome != OutcomeOK:
 			c.rejectRequest(req, 503, retryAfterBusy, "state service out of reach")
@@ -428,7 +405,7 @@
 	for _, shard := range c.shards {
 		if shard.owned && shard.loaded {
 			if assignment := shard.assignments[id]; assignment != nil {
-				r.Done += assignment.done.count()
+				r.Done += assignment.done.Count()
 				r.Running += assignment.running()
 			}
 			continue
@@ -477,8 +454,8 @@
 			t.Mutations = append(t.Mutations, Mutation{Key: job.key(), Value: value})
 			for _, zone := range c.zones.names {
 				if r, ok := submission.split[zone]; ok {
-					record, _ := json.Marshal(assignmentRecord{Waiting: r, Job: job.record("")})
-					t.Mutations = append(t.Mutations, Mutation{Key: assignmentKey(zone, submission.spec.ID), Value: record})
+					record := c.encodeAssignment(&records.Assignment{Waiting: r, Job: job.record("")})
+					t.Mutations = append(t.Mutations, Mutation{Key: records.AssignmentKey(zone, submission.spec.ID), Value: record})
 				}
 			}
 			group = append(group, submission)
@@ -505,9 +482,9 @@
 	case OutcomeOK:
 		var changes []Item
 		for _, s := range t.Mutations {
-			if len(s.Key) > 4 && s.Key[:4] == "job/" {
+			if key := records.ParseKey(s.Key); key.Kind == records.KindJob {
 				changes = append(changes, Item{s.Key, s.Value, res.Revision})
-				c.applyJobRecord(s.Key[4:], s.Value, res.Revision)
+				c.applyJobRecord(key.Job, s.Value, res.Revision)
 			}
 		}
 		c.broadcast(Message{Jobs: changes})
@@ -526,7 +503,7 @@
 	case OutcomeRefused:
 		// Some of them are known already; the others go one by one.
 		for _, submission := range group {
-			if !slices.Contains(res.FailedKeys, "job/"+submission.spec.ID) {
+			if !slices.Contains(res.FailedKeys, records.JobKey(submission.spec.ID)) {
 				submission.ownTxn = true
 				c.requeueSubmission(submission)
 				continue
@@ -671,7 +648,7 @@
 		c.rejectRequest(e.RequestID, 503, retryAfterBusy, "changing too fast")
 		return
 	}
-	c.readKey("job/"+e.ID, true, func(res ReadResult) {
+	c.readKey(records.JobKey(e.ID), true, func(res ReadResult) {
 		if res.Outcome != OutcomeOK {
 			c.rejectRequest(e.RequestID, 503, retryAfterBusy, "state service out of reach")
 			return
@@ -686,7 +663,7 @@
 			c.tryCancel(e, tries-1)
 			return
 		}
-		key, value := job.key(), job.encode(recordedCancelled)
+		key, value := job.key(), job.encode(records.StateCancelled)
 		t := Txn{Conditions: []Condition{{key, job.revision}}, Mutations: []Mutation{{Key: key, Value: value}}}
 		c.commit(t, true, func(res CommitResult) {
 			if res.Outcome != OutcomeOK {
--- a/internal/core/launches.go
+++ b/internal/core/launches.go
@@ -65,10 +65,10 @@
 		}
 	}
 	if done {
-		assignment.done.add(task.id.Index)
+		assignment.done.Add(task.id.Index)
 		c.stats.Finished++
 	} else {
-		assignment.waiting.add(task.id.Index)
+		assignment.waiting.Add(task.id.Index)
 		c.stats.Requeued++
 		c.info("task back in the queue", "job", task.id.Job, "task", task.id.Index, "host", task.host.name, "part", shard.name)
 	}
--- a/internal/core/moves.go
+++ b/internal/core/moves.go
@@ -1,12 +1,12 @@
 package core
 
 import (
-	"encoding/json"
 	"maps"
 	"time"
 
 	"roadcleat/internal/model"
 	"roadcleat/internal/plan"
+	"roadcleat/internal/records"
 )
 
 // moveGain is by how much earlier, in seconds, a task must end elsewhere to be
@@ -123,7 +123,7 @@
 func (c *Core) moveTasks(shard, to *Shard, assignment *Assignment, count int) {
 	job, token := assignment.job, shard.token
 	shard.movePending = true
-	key := assignmentKey(to.name, job.id)
+	key := records.AssignmentKey(to.name, job.id)
 	c.readKey(key, true, func(res ReadResult) {
 		shard.movePending = false
 		if res.Outcome != OutcomeOK || !shard.owned || shard.token != token || shard.txnPending || shard.claiming || shard.handingOver ||
@@ -135,18 +135,21 @@
 				return // the slice is about to change by itself
 			}
 		}
-		ids := assignment.waiting.clone().first(min(count, assignment.waiting.count()))
+		ids := assignment.waiting.Clone().First(min(count, assignment.waiting.Count()))
 		if len(ids) == 0 {
 			return
 		}
-		var v assignmentRecord
-		if res.Found && json.Unmarshal(res.Item.Value, &v) != nil {
-			return
+		var v records.Assignment
+		if res.Found {
+			var err error
+			if v, err = records.DecodeAssignment(res.Item.Value); err != nil {
+				return
+			}
 		}
 		split := maps.Clone(job.split)
 		split[to.name] = nil
 		for _, i := range ids {
-			v.Waiting.add(i)
+			v.Waiting.Add(i)
 		}
 		v.LastAttempt = max(v.LastAttempt, assignment.lastAttempt) // an attempt is never given out twice
 		moved := *job
@@ -155,7 +158,7 @@
 			return
 		}
 		for _, i := range ids {
-			assignment.waiting.remove(i)
+			assignment.waiting.Remove(i)
 		}
 		empty := assignment.complete() && len(assignment.done) == 0
 		if empty {
@@ -176,13 +179,13 @@
 		revision := assignment.revision
 		txn.onRollBack = func() {
 			for _, i := range ids {
-				if assignment.revision == revision && assignment.tasks[i] == nil && !assignment.done.has(i) {
-					assignment.waiting.add(i)
+				if assignment.revision == revision && assignment.tasks[i] == nil && !assignment.done.Has(i) {
+					assignment.waiting.Add(i)
 				}
 			}
 		}
-		txn.txn.Conditions = []Condition{{shard.key(), shard.revision}, {assignmentKey(shard.name, job.id), assignment.revision}, {job.key(), job.revision}, {key, res.Item.Revision}}
-		txn.txn.Mutations = []Mutation{{Key: assignmentKey(shard.name, job.id), Value: mineValue}, {Key: key, Value: theirs}, {Key: job.key(), Value: value}}
+		txn.txn.Conditions = []Condition{{shard.key(), shard.revision}, {records.AssignmentKey(shard.name, job.id), assignment.revision}, {job.key(), job.revision}, {key, res.Item.Revision}}
+		txn.txn.Mutations = []Mutation{{Key: records.AssignmentKey(shard.name, job.id), Value: mineValue}, {Key: key, Value: theirs}, {Key: job.key(), Value: value}}
 		delete(shard.dirty, job.id)
 		c.forgetDemand(shard, job, len(ids))
 		c.stats.Rebalanced += uint64(len(ids))
@@ -228,7 +231,7 @@
 		case shard.txnPending:
 			c.checkForMovedTasks(shard, id)
 		default:
-			c.readUntilAnswered(assignmentKey(shard.name, id), unsure, func(res ReadResult) {
+			c.readUntilAnswered(records.AssignmentKey(shard.name, id), unsure, func(res ReadResult) {
 				if shard.txnPending {
 					c.checkForMovedTasks(shard, id) // what was read may be from before or after it
 				} else if res.Found && res.Item.Revision > shard.assignments[id].revision {
--- a/internal/core/parts.go
+++ b/internal/core/parts.go
@@ -1,8 +1,8 @@
 package core
 
 import (
-	"encoding/json"
 	"roadcleat/internal/model"
+	"roadcleat/internal/records"
 	"slices"
 	"strings"
 	"time"
@@ -83,17 +83,13 @@
 	distributions []distribution // from here, lately
 }
 
-type shardRecord struct {
-	Owner string `json:"owner"`
-}
-
 func newShard(zone int, name string) *Shard {
 	return &Shard{zone: zone, name: name, hosts: map[string]*Host{}, returnedHosts: map[string]time.Duration{},
 		assignments: map[string]*Assignment{}, dirty: map[string]*Assignment{}, recordBy: map[string]time.Duration{}, exhaustedUntil: map[MachineKind]time.Duration{},
 		unknownKeys: map[string]bool{}, exports: map[string]taskExport{}}
 }
 
-func (s *Shard) key() string { return "part/" + s.name }
+func (s *Shard) key() string { return records.ShardKey(s.name) }
 
 // maintainLease holds this controller's lease at the state service.
 func (c *Core) maintainLease() {
@@ -155,7 +151,7 @@
 	if !watch.loaded {
 		// The jobs' view starts at the present; whatever this controller needs
 		// of the past it reads key by key.
-		call(c, ListKeys{"part/"}, func(res ListResult) {
+		call(c, ListKeys{records.ShardPrefix}, func(res ListResult) {
 			watch.pending = false
 			c.recordStoreOutcome(sent, res.Outcome == OutcomeOK)
 			if res.Outcome != OutcomeOK {
@@ -200,17 +196,18 @@
 }
 
 func (c *Core) applyChange(n Item) {
-	if zone, ok := strings.CutPrefix(n.Key, "part/"); ok {
-		c.applyShardRecord(c.shards[c.zoneIndex(zone)], n.Value, n.Revision)
-	} else if id, ok := strings.CutPrefix(n.Key, "job/"); ok && n.Value != nil {
-		c.applyJobRecord(id, n.Value, n.Revision)
+	switch key := records.ParseKey(n.Key); {
+	case key.Kind == records.KindShard:
+		c.applyShardRecord(c.shards[c.zoneIndex(key.Zone)], n.Value, n.Revision)
+	case key.Kind == records.KindJob && n.Value != nil:
+		c.applyJobRecord(key.Job, n.Value, n.Revision)
 	}
 }
 
 func (c *Core) applyShardList(items []Item) {
 	seen := map[string]bool{}
 	for _, it := range items {
-		zone := strings.TrimPrefix(it.Key, "part/")
+		zone := records.ParseKey(it.Key).Zone
 		seen[zone] = true
 		c.applyShardRecord(c.shards[c.zoneIndex(zone)], it.Value, it.Revision)
 	}
@@ -241,8 +238,8 @@
 		shard.owner, shard.revision = "", 0
 		return
 	}
-	var v shardRecord
-	if json.Unmarshal(value, &v) != nil {
+	v, err := records.DecodeShard(value)
+	if err != nil {
 		return
 	}
 	if shard.owned && revision > shard.token {
@@ -339,7 +336,7 @@
 
 // claimShard takes a part, or raises the token of one already mine.
 func (c *Core) claimShard(shard *Shard) {
-	value, _ := json.Marshal(shardRecord{c.cfg.Label})
+	value := records.Shard{Owner: c.cfg.Label}.Encode()
 	shard.claiming = true
 	again := shard.owned
 	t := Txn{Conditions: []Condition{{shard.key(), shard.revision}}, Mutations: []Mutation{{shard.key(), value, c.leaseID}}}
@@ -420,7 +417,7 @@
 	shard.loading = true
 	term := shard.term
 	valid := func() bool { return shard.owned && shard.term == term }
-	call(c, ListKeys{"slice/" + shard.name + "/"}, func(res ListResult) {
+	call(c, ListKeys{records.AssignmentPrefix(shard.name)}, func(res ListResult) {
 		if !valid() {
 			return
 		}
@@ -437,7 +434,7 @@
 		}
 		for _, it := range res.Items {
 			// Taken for empty, its tasks would count for nobody and start again.
-			if json.Unmarshal(it.Value, &assignmentRecord{}) != nil {
+			if _, err := records.DecodeAssignment(it.Value); err != nil {
 				c.warn("slice unreadable, part not served", "key", it.Key, "part", shard.name, "token", shard.token)
 				again(retryUnreadable)
 				return
@@ -464,8 +461,8 @@
 		for _, it := range res.Items {
 			id := it.Key[strings.LastIndexByte(it.Key, '/')+1:]
 			items[id] = it
-			var v assignmentRecord
-			if _ = json.Unmarshal(it.Value, &v); v.Job == nil {
+			v, _ := records.DecodeAssignment(it.Value) // readable, as was seen above
+			if v.Job == nil {
 				unknown = append(unknown, id)
 				continue
 			}
@@ -473,11 +470,11 @@
 			if v.JobRevision == 0 {
 				revisions[id] = it.Revision
 			}
-			jobs[id], _ = json.Marshal(v.Job)
+			jobs[id] = v.Job.Encode()
 			told = append(told, id)
 		}
 		read := func(id string) {
-			c.readUntilAnswered("job/"+id, valid, func(jobResult ReadResult) {
+			c.readUntilAnswered(records.JobKey(id), valid, func(jobResult ReadResult) {
 				if jobResult.Found {
 					c.restoreAssignment(shard, id, jobResult.Item.Value, jobResult.Item.Revision, items[id])
 				}
@@ -505,8 +502,7 @@
 	if job := c.applyJobRecord(id, value, revision); job != nil {
 		c.adoptAssignmentOf(shard, job, it.Value, it.Revision)
 	} else if s, over := c.finished[id]; over {
-		var v jobRecord
-		_ = json.Unmarshal(value, &v) // at worst the job has no team
+		v, _ := records.DecodeJob(value) // at worst the job has no team
 		job := c.newJob(id, v.Spec, revision)
 		job.state = s
 		c.adoptAssignmentOf(shard, job, it.Value, it.Revision)
--- a/internal/core/peers.go
+++ b/internal/core/peers.go
@@ -3,8 +3,8 @@
 import (
 	"math"
 	"roadcleat/internal/model"
+	"roadcleat/internal/records"
 	"slices"
-	"strings"
 	"time"
 )
 
@@ -44,25 +44,25 @@
 	}
 	peer.lastHeardAt = c.now
 	for _, it := range m.Jobs {
-		c.applyJobRecord(strings.TrimPrefix(it.Key, "job/"), it.Value, it.Revision)
+		c.applyJobRecord(records.ParseKey(it.Key).Job, it.Value, it.Revision)
 	}
 	for _, it := range m.Assignments {
-		zone, id, ok := strings.Cut(strings.TrimPrefix(it.Key, "slice/"), "/")
-		if !ok {
+		key := records.ParseKey(it.Key)
+		if key.Kind != records.KindAssignment {
 			continue
 		}
-		z := c.zones.lookup(zone)
+		z := c.zones.lookup(key.Zone)
 		if z < 0 || !c.shards[z].owned || !c.shards[z].loaded {
 			continue
 		}
-		if job := c.jobs[id]; job != nil && it.Revision < job.revision {
-			// Every move changes the job as well, so tasks have moved since. Word held
-			// back by a cut once brought a slice back that was no more, and its task
-			// ran twice.
-			c.readAssignment(c.shards[z], id)
+		if job := c.jobs[key.Job]; job != nil && it.Revision < job.revision {
+			// Every move changes the job as well, so tasks have moved since. A message
+			// that a cut held back once restored an assignment that had been deleted, and
+			// its task ran twice.
+			c.readAssignment(c.shards[z], key.Job)
 			continue
 		}
-		c.applyAssignmentRecord(c.shards[z], id, it.Value, it.Revision)
+		c.applyAssignmentRecord(c.shards[z], key.Job, it.Value, it.Revision)
 	}
 	for _, zone := range m.ReleasedShards {
 		if z := c.zones.lookup(zone); z >= 0 && !c.shards[z].owned && !c.shards[z].claiming {
@@ -71,7 +71,7 @@
 		}
 	}
 	for _, it := range m.Quotas {
-		if t := c.teams.lookup(strings.TrimPrefix(it.Key, "quota/")); t >= 0 {
+		if t := c.teams.lookup(records.ParseKey(it.Key).Team); t >= 0 {
 			c.applyQuotaRecord(c.quotas[t], true, it.Value, it.Revision)
 		}
 	}
@@ -93,7 +93,7 @@
 func (c *Core) applyGossip(peer *Peer, g *Gossip) {
 	peer.gossip, peer.gossipAt = g, c.now
 	for _, it := range g.Cancellations {
-		c.applyJobRecord(strings.TrimPrefix(it.Key, "job/"), it.Value, it.Revision)
+		c.applyJobRecord(records.ParseKey(it.Key).Job, it.Value, it.Revision)
 	}
 	// What it wrote after it had heard my gossip holds, together with what came
 	// before, all withdrawals that it had told anybody of by the time I sent that;
@@ -136,7 +136,7 @@
 	c.gossipSeq++
 	c.gossipSentAt[c.gossipSeq] = c.now
 	delete(c.gossipSentAt, c.gossipSeq-120)
-	g := &Gossip{Seq: c.gossipSeq, Received: map[string]uint64{}, StoreOK: c.storeReachable(), ValueFormat: formGrouped, CallRate: c.callRate, WorkersHeard: map[string]int{}, Isolated: c.now < c.isolatedUntil}
+	g := &Gossip{Seq: c.gossipSeq, Received: map[string]uint64{}, StoreOK: c.storeReachable(), ValueFormat: int(records.FormatGrouped), CallRate: c.callRate, WorkersHeard: map[string]int{}, Isolated: c.now < c.isolatedUntil}
 	for zone, hosts := range c.foreignHeartbeats {
 		for name, at := range hosts {
 			if c.now > at+6*time.Second {
@@ -208,7 +208,7 @@
 		if assignment.job.state == model.JobPending {
 			n := assignment.counts()
 			c.trackMissing(assignment, n)
-			shown := JobCounts{ID: id, Done: assignment.done.count(), Running: n.Running}
+			shown := JobCounts{ID: id, Done: assignment.done.Count(), Running: n.Running}
 			if assignment.job.spec.Service && n.missing() > 0 {
 				shown.Starting, shown.Fetching, shown.Waiting, shown.MissingSeconds = n.Starting, n.Fetching, n.Waiting, math.Round(c.missingSeconds(assignment))
 				shown.Reason, _ = c.whyMissing(shard, assignment, n, first)
--- a/internal/core/planning.go
+++ b/internal/core/planning.go
@@ -233,7 +233,7 @@
 		return // an earlier attempt is still on its way off this host
 	}
 	assignment.yieldingSince = 0
-	assignment.waiting.remove(i)
+	assignment.waiting.Remove(i)
 	assignment.tasks[i] = task
 	c.reserve(shard, task)
 	if job.image >= 0 {
--- a/internal/core/planround.go
+++ b/internal/core/planround.go
@@ -7,6 +7,7 @@
 	"time"
 
 	"roadcleat/internal/plan"
+	"roadcleat/internal/records"
 )
 
 // startTolerance is how far from now a planned start may lie to count as now.
@@ -93,7 +94,7 @@
 const maxPlacedPerRound = 256
 
 func (c *Core) newPlanRound(shard *Shard) *planRound {
-	round := &planRound{core: c, shard: shard, now: seconds(c.now), longest: shard.longestName()}
+	round := &planRound{core: c, shard: shard, now: seconds(c.now), longest: shard.longestHostName()}
 	for _, host := range shard.hostList() {
 		if host.countsForPlans(c.now) || host.typeIndex >= 0 && host.isJoining(c.now) {
 			round.shardDevices = append(round.shardDevices, c.hostDevice(host, false))
@@ -114,13 +115,13 @@
 		c.requestGrants(assignment)
 	}
 	record := c.sizeBudgetOf(assignment)
-	allowed := min(waiting, quota, record.maxTasks(c.tasksPerUsualMachine(job), r.longest))
+	allowed := min(waiting, quota, record.MaxTasks(c.tasksPerUsualMachine(job), r.longest))
 	if c.now < job.holdUntil || waiting == 0 {
 		return
 	}
 	c.rememberClassTypes(job)
 	n := min(allowed, maxPlacedPerRound)
-	if job.spec.Gang && (len(assignment.tasks) > 0 || n < assignment.waiting.count()) {
+	if job.spec.Gang && (len(assignment.tasks) > 0 || n < assignment.waiting.Count()) {
 		return // whole or not at all, and only once the last try is off its machines
 	}
 	r.devicesTried += len(r.devices)
@@ -227,15 +228,15 @@
 
 // start books the tasks that start now, as many as the slice's record holds, and returns
 // their number.
-func (r *planRound) start(assignment *Assignment, starts []plan.Placement, on candidates, record *sizeBudget) int {
+func (r *planRound) start(assignment *Assignment, starts []plan.Placement, on candidates, record *records.SizeBudget) int {
 	if assignment.job.spec.Gang && on.maxTasks > 0 {
 		assignment.lastAttempt++ // the tasks of a gang know each other by their common attempt
 	}
 	// Tasks that follow one another on a machine are one entry of the value.
 	slices.SortStableFunc(starts, func(a, b plan.Placement) int { return cmp.Compare(a.Device, b.Device) })
-	for k, i := range assignment.waiting.first(len(starts)) {
+	for k, i := range assignment.waiting.First(len(starts)) {
 		host := on.all[starts[k].Device].host
-		if !record.take(host.name) {
+		if !record.Take(host.name) {
 			return k
 		}
 		r.core.placeTask(r.shard, assignment, i, host)
--- a/internal/core/queues.go
+++ b/internal/core/queues.go
@@ -115,7 +115,7 @@
 }
 
 func (a *Assignment) counts() TaskCounts {
-	n := TaskCounts{Waiting: a.waiting.count()}
+	n := TaskCounts{Waiting: a.waiting.Count()}
 	for _, task := range a.tasks {
 		switch task.state {
 		case TaskRunning, TaskSaving:
--- a/internal/core/quota.go
+++ b/internal/core/quota.go
@@ -1,10 +1,10 @@
 package core
 
 import (
-	"encoding/json"
 	"maps"
 	"math"
 	"roadcleat/internal/model"
+	"roadcleat/internal/records"
 	"time"
 )
 
@@ -15,7 +15,7 @@
 	known         bool
 	readPending   bool
 	revision      uint64
-	grants        map[string]grant
+	grants        records.Grants
 	nextRequestAt time.Duration
 	// A new owner relies on nothing it knew of grants before its claim: another
 	// owner may have given its part's grant back meanwhile.
@@ -90,50 +90,32 @@
 // reducedGrant is the smallest grant that a part asked for while the key had this stamp.
 type reducedGrant struct {
 	revision uint64
-	grant    grant
+	grant    records.Grant
 }
 
 // reliableGrant is what the part may count on.
-func (q *TeamQuota) reliableGrant(part string) grant {
+func (q *TeamQuota) reliableGrant(part string) records.Grant {
 	g := q.grants[part]
 	if c, ok := q.reducedGrants[part]; ok && c.revision == q.revision {
-		return grant{min(g.Cores, c.grant.Cores), min(g.GPUs, c.grant.GPUs)}
+		return g.Min(c.grant)
 	}
 	return g
 }
 
-type grant struct {
-	Cores float64 `json:"c"`
-	GPUs  float64 `json:"g"`
-}
-
-func (q *TeamQuota) key() string { return "quota/" + q.team }
-
-func (q *TeamQuota) sum() grant {
-	var s grant
-	for _, g := range q.grants {
-		s.Cores += g.Cores
-		s.GPUs += g.GPUs
-	}
-	return s
-}
+func (q *TeamQuota) key() string { return records.QuotaKey(q.team) }
 
 // apply applies what the store holds.
 func (q *TeamQuota) apply(found bool, value []byte, revision uint64) {
 	if q.known && revision < q.revision && found {
 		return
 	}
-	q.known, q.revision, q.grants = true, revision, map[string]grant{}
+	q.known, q.revision, q.grants = true, revision, records.Grants{}
 	if !found {
 		q.revision = 0
 		return
 	}
-	if json.Unmarshal(value, &q.grants) != nil {
-		q.known = false
-	}
-	if q.grants == nil {
-		q.grants = map[string]grant{} // the value was null
-	}
+	grants, err := records.DecodeGrants(value)
+	q.known, q.grants = err == nil, grants
 }
 
 func (c *Core) applyQuotaRecord(quota *TeamQuota, found bool, value []byte, revision uint64) {
@@ -167,7 +149,7 @@
 }
 
 // withinGrant reports whether use keeps to a grant, as far as the limit concerns it.
-func withinGrant(limit, used model.Resources, g grant) bool {
+func withinGrant(limit, used model.Resources, g records.Grant) bool {
 	return (limit.Cores == 0 || used.Cores <= g.Cores+1e-6) && (limit.GPUs == 0 || used.GPUs <= g.GPUs+1e-6)
 }
 
@@ -191,7 +173,7 @@
 	if !quota.known || quota.mustReread {
 		return 0
 	}
-	sum, mine, used := quota.sum(), quota.grants[shard.name], shard.teamUsage[team]
+	sum, mine, used := quota.grants.Sum(), quota.grants[shard.name], shard.teamUsage[team]
 	if need.Cores > 0 && limit.Cores > 0 {
 		n = min(n, wholeTasks((mine.Cores+limit.Cores-sum.Cores-used.Cores+1e-6)/need.Cores))
 	}
@@ -203,9 +185,9 @@
 
 // grownGrants returns the part's grant large enough for what it uses, in chunks, or
 // false when it is large enough already.
-func (c *Core) grownGrants(shard *Shard, team int) (map[string]grant, bool) {
+func (c *Core) grownGrants(shard *Shard, team int) (records.Grants, bool) {
 	quota, limit := c.quotas[team], c.teamConfigs[team].Limit
-	mine, used, sum := quota.grants[shard.name], shard.teamUsage[team], quota.sum()
+	mine, used, sum := quota.grants[shard.name], shard.teamUsage[team], quota.grants.Sum()
 	sure := quota.reliableGrant(shard.name)
 	if withinGrant(limit, used, sure) {
 		return nil, false
@@ -278,7 +260,7 @@
 	}
 	delete(quota.idleSince, shard.name)
 	next := maps.Clone(quota.grants) // known, so there is a map
-	if next[shard.name] = (grant{used.Cores, used.GPUs}); used.Cores <= 1e-6 && used.GPUs <= 1e-6 {
+	if next[shard.name] = (records.Grant{Cores: used.Cores, GPUs: used.GPUs}); used.Cores <= 1e-6 && used.GPUs <= 1e-6 {
 		delete(next, shard.name)
 	}
 	if quota.reducedGrants == nil {
@@ -289,11 +271,11 @@
 	// the smallest counts. The next that the part needs more changes the stamp.
 	sure := next[shard.name]
 	if was, ok := quota.reducedGrants[shard.name]; ok && was.revision == quota.revision {
-		sure = grant{min(sure.Cores, was.grant.Cores), min(sure.GPUs, was.grant.GPUs)}
+		sure = sure.Min(was.grant)
 	}
 	quota.reducedGrants[shard.name] = reducedGrant{quota.revision, sure}
-	value, _ := json.Marshal(next)
-	txn := &pendingTxn{shard: shard, quotas: map[*TeamQuota]map[string]grant{quota: next}}
+	value := next.Encode()
+	txn := &pendingTxn{shard: shard, quotas: map[*TeamQuota]records.Grants{quota: next}}
 	txn.txn = Txn{Conditions: []Condition{{shard.key(), shard.revision}, {quota.key(), quota.revision}}, Mutations: []Mutation{{Key: quota.key(), Value: value}}}
 	c.sendTxn(txn)
 	return true
--- a/internal/core/ranking.go
+++ b/internal/core/ranking.go
@@ -39,7 +39,7 @@
 	}
 	keys := make(map[*Assignment]key, len(list))
 	for _, assignment := range list {
-		rounds, backfills := float64(assignment.waiting.count())/max(slots(assignment.job), 1), c.isBackfill(assignment.job)
+		rounds, backfills := float64(assignment.waiting.Count())/max(slots(assignment.job), 1), c.isBackfill(assignment.job)
 		if backfills && !c.hasObjectives(assignment.job) {
 			rounds = 0 // the oldest first, so that some end instead of all being half done
 		}
--- a/internal/core/reports.go
+++ b/internal/core/reports.go
@@ -319,9 +319,9 @@
 		return
 	}
 	i := r.Task.Index
-	if assignment.waiting.has(i) {
-		assignment.waiting.remove(i)
-		assignment.done.add(i)
+	if assignment.waiting.Has(i) {
+		assignment.waiting.Remove(i)
+		assignment.done.Add(i)
 		assignment.unrecordedExits[i] = taskExit{max(r.Attempt, assignment.lastAttempt), true}
 		c.recordExit(shard, assignment, true)
 	}
--- a/internal/core/slices.go
+++ b/internal/core/slices.go
@@ -2,11 +2,10 @@
 
 import (
 	"cmp"
-	"encoding/json"
 	"maps"
 	"roadcleat/internal/model"
+	"roadcleat/internal/records"
 	"slices"
-	"strings"
 	"time"
 )
 
@@ -14,8 +13,8 @@
 type Assignment struct {
 	job                   *Job
 	revision              uint64
-	waiting               taskRanges
-	done                  taskRanges
+	waiting               records.TaskRanges
+	done                  records.TaskRanges
 	tasks                 map[int]*Task    // on a machine, or on the way there
 	unrecordedExits       map[int]taskExit // ended for certain, not yet recorded
 	lastAttempt           uint64           // highest attempt given out
@@ -36,25 +35,6 @@
 	done    bool
 }
 
-// assignmentRecord is a slice as the state service holds it: every task of it is
-// waiting, done or placed.
-type assignmentRecord struct {
-	Waiting     taskRanges `json:"w,omitempty"`
-	Done        taskRanges `json:"d,omitempty"`
-	Placed      placements `json:"p,omitempty"`
-	LastAttempt uint64     `json:"n,omitempty"`
-	// The job as it was when the slice was written, and its stamp; without one,
-	// both keys were written by the same transaction. A new owner then only has
-	// to compare stamps, many at a time, where it would have to read every job.
-	Job         *jobRecord `json:"j,omitempty"`
-	JobRevision uint64     `json:"k,omitempty"`
-	// How long the job has been failing everywhere: a new owner need not find that
-	// out by starting all of it once more.
-	FailedTrials int `json:"f,omitempty"`
-}
-
-func assignmentKey(zone, job string) string { return "slice/" + zone + "/" + job }
-
 func (a *Assignment) complete() bool { return len(a.waiting) == 0 && len(a.tasks) == 0 }
 
 func (a *Assignment) running() int {
@@ -68,11 +48,11 @@
 }
 
 // record is what a slice is for the store, its job being as given.
-func (a *Assignment) record(job *Job, revision uint64) *assignmentRecord {
-	v := &assignmentRecord{Waiting: a.waiting, Done: a.done, LastAttempt: a.lastAttempt, Job: job.record(""), JobRevision: revision, FailedTrials: a.job.failedTrials}
+func (a *Assignment) record(job *Job, revision uint64) *records.Assignment {
+	v := &records.Assignment{Waiting: a.waiting, Done: a.done, LastAttempt: a.lastAttempt, Job: job.record(""), JobRevision: revision, FailedTrials: a.job.failedTrials}
 	for _, i := range sorted(a.tasks) {
 		task := a.tasks[i]
-		v.Placed = append(v.Placed, placement{i, task.host.name, task.attempt})
+		v.Placed = append(v.Placed, records.Placement{Index: i, Host: task.host.name, Attempt: task.attempt})
 	}
 	return v
 }
@@ -134,13 +114,13 @@
 // reconcile makes memory agree with the store's slice while it keeps what was
 // proven since and is not yet recorded.
 func (c *Core) reconcile(shard *Shard, assignment *Assignment, value []byte, revision uint64) {
-	var v assignmentRecord
-	if json.Unmarshal(value, &v) != nil {
+	v, err := records.DecodeAssignment(value)
+	if err != nil {
 		c.warn("slice unreadable", "job", assignment.job.id, "part", shard.name)
 		return
 	}
 	old := assignment.tasks
-	assignment.revision, assignment.waiting, assignment.done, assignment.lastAttempt = revision, v.Waiting.clone(), v.Done.clone(), max(assignment.lastAttempt, v.LastAttempt)
+	assignment.revision, assignment.waiting, assignment.done, assignment.lastAttempt = revision, v.Waiting.Clone(), v.Done.Clone(), max(assignment.lastAttempt, v.LastAttempt)
 	assignment.tasks = map[int]*Task{}
 	if !assignment.job.succeeded {
 		assignment.job.failedTrials = max(assignment.job.failedTrials, v.FailedTrials)
@@ -151,9 +131,9 @@
 		assignment.lastAttempt = max(assignment.lastAttempt, pl.Attempt)
 		if o, ok := assignment.unrecordedExits[pl.Index]; ok && o.attempt >= pl.Attempt {
 			if o.done {
-				assignment.done.add(pl.Index)
+				assignment.done.Add(pl.Index)
 			} else {
-				assignment.waiting.add(pl.Index)
+				assignment.waiting.Add(pl.Index)
 			}
 			shard.dirty[assignment.job.id] = assignment
 			continue
@@ -194,9 +174,9 @@
 		if inStore[i] {
 			continue
 		}
-		if o.done && assignment.waiting.has(i) {
-			assignment.waiting.remove(i)
-			assignment.done.add(i)
+		if o.done && assignment.waiting.Has(i) {
+			assignment.waiting.Remove(i)
+			assignment.done.Add(i)
 			shard.dirty[assignment.job.id] = assignment
 			continue
 		}
@@ -229,7 +209,7 @@
 	assignments      map[string]*Assignment
 	exits            map[*Assignment]map[int]taskExit
 	placements       []*Task
-	quotas           map[*TeamQuota]map[string]grant
+	quotas           map[*TeamQuota]records.Grants
 	doneJobs         []*Job
 	jobChanges       []Item
 	droppedJobs      []string
@@ -260,7 +240,7 @@
 				if res.Revision > quota.revision {
 					quota.revision, quota.grants = res.Revision, g
 				}
-				value, _ := json.Marshal(g)
+				value := g.Encode()
 				quotas = append(quotas, Item{quota.key(), value, res.Revision})
 			}
 		}
@@ -328,13 +308,13 @@
 func (c *Core) announceChanges(txn *pendingTxn, revision uint64) {
 	for i := range txn.jobChanges {
 		txn.jobChanges[i].Revision = revision
-		c.applyJobRecord(strings.TrimPrefix(txn.jobChanges[i].Key, "job/"), txn.jobChanges[i].Value, revision)
+		c.applyJobRecord(records.ParseKey(txn.jobChanges[i].Key).Job, txn.jobChanges[i].Value, revision)
 	}
 	for i := range txn.movedAssignments {
 		txn.movedAssignments[i].Revision = revision
-		zone, id, _ := strings.Cut(strings.TrimPrefix(txn.movedAssignments[i].Key, "slice/"), "/")
-		if q := c.shards[c.zoneIndex(zone)]; q.owned && q.loaded {
-			c.applyAssignmentRecord(q, id, txn.movedAssignments[i].Value, revision)
+		key := records.ParseKey(txn.movedAssignments[i].Key)
+		if to := c.shards[c.zoneIndex(key.Zone)]; to.owned && to.loaded {
+			c.applyAssignmentRecord(to, key.Job, txn.movedAssignments[i].Value, revision)
 		}
 	}
 	if len(txn.jobChanges)+len(txn.movedAssignments) > 0 {
@@ -404,31 +384,30 @@
 	}
 }
 
+// applyReread applies a key that was read again because a transaction's outcome on it was
+// not known.
 func (c *Core) applyReread(shard *Shard, key string, res ReadResult) {
-	kind, rest, _ := strings.Cut(key, "/")
-	switch kind {
-	case "part":
+	switch k := records.ParseKey(key); k.Kind {
+	case records.KindShard:
 		if !res.Found || res.Item.Revision != shard.token {
 			c.loseShard(shard, "claim has changed")
 			c.rereadShard(shard)
 		}
-	case "job":
+	case records.KindJob:
 		if res.Found {
-			c.applyJobRecord(rest, res.Item.Value, res.Item.Revision)
+			c.applyJobRecord(k.Job, res.Item.Value, res.Item.Revision)
 		}
-	case "quota":
-		if t := c.teams.lookup(rest); t >= 0 {
-			c.applyQuotaRecord(c.quotas[t], res.Found, res.Item.Value, res.Item.Revision)
+	case records.KindQuota:
+		if team := c.teams.lookup(k.Team); team >= 0 {
+			c.applyQuotaRecord(c.quotas[team], res.Found, res.Item.Value, res.Item.Revision)
 		}
-	case "slice":
-		zone, id, _ := strings.Cut(rest, "/")
-		if zone != shard.name {
-			return
-		}
-		if !res.Found {
-			c.applyAssignmentRecord(shard, id, nil, 0)
-		} else {
-			c.applyAssignmentRecord(shard, id, res.Item.Value, res.Item.Revision)
+	case records.KindAssignment:
+		switch {
+		case k.Zone != shard.name:
+		case !res.Found:
+			c.applyAssignmentRecord(shard, k.Job, nil, 0)
+		default:
+			c.applyAssignmentRecord(shard, k.Job, res.Item.Value, res.Item.Revision)
 		}
 	}
 }
@@ -468,7 +447,7 @@
 		return
 	}
 	txn := &pendingTxn{shard: shard, assignments: map[string]*Assignment{}, exits: map[*Assignment]map[int]taskExit{},
-		quotas: map[*TeamQuota]map[string]grant{}}
+		quotas: map[*TeamQuota]records.Grants{}}
 	txn.txn.Conditions = []Condition{{shard.key(), shard.revision}}
 	size := c.appendCompletions(shard, txn)
 	for _, id := range shard.dirtyOrder() {
@@ -486,7 +465,7 @@
 }
 
 func (c *Core) appendAssignment(shard *Shard, txn *pendingTxn, id string, assignment *Assignment) int {
-	key := assignmentKey(shard.name, id)
+	key := records.AssignmentKey(shard.name, id)
 	guard := func() { txn.txn.Conditions = append(txn.txn.Conditions, Condition{key, assignment.revision}) }
 	if assignment.job.state != model.JobPending {
 		// No transaction is under way, so what is only planned will never be
@@ -535,7 +514,7 @@
 		quota := c.quotas[assignment.job.team]
 		if _, in := txn.quotas[quota]; !in {
 			if next, grows := c.grownGrants(shard, assignment.job.team); grows {
-				value, _ := json.Marshal(next)
+				value := next.Encode()
 				txn.quotas[quota] = next
 				txn.txn.Conditions = append(txn.txn.Conditions, Condition{quota.key(), quota.revision})
 				txn.txn.Mutations = append(txn.txn.Mutations, Mutation{Key: quota.key(), Value: value})
@@ -553,7 +532,7 @@
 // named, of which as many as fit are dropped with it.
 func (w *pendingTxn) appendCompletion(assignment *Assignment, others []Condition, drops int) int {
 	job := assignment.job
-	key, value := assignmentKey(w.shard.name, job.id), job.encode(recordedDone)
+	key, value := records.AssignmentKey(w.shard.name, job.id), job.encode(records.StateDone)
 	w.txn.Conditions = append(append(w.txn.Conditions, Condition{key, assignment.revision}, Condition{job.key(), job.revision}), others...)
 	w.txn.Mutations = append(w.txn.Mutations, Mutation{Key: job.key(), Value: value}, Mutation{Key: key})
 	for _, o := range others[:drops] {
@@ -599,6 +578,15 @@
 	return size
 }
 
+// isComplete reports whether an assignment that was read has neither waiting nor placed tasks.
+func isComplete(r ReadResult) bool {
+	if r.Outcome != OutcomeOK || !r.Found {
+		return false
+	}
+	v, err := records.DecodeAssignment(r.Item.Value)
+	return err == nil && len(v.Waiting) == 0 && len(v.Placed) == 0
+}
+
 // completeSharedJob sets a job of several parts done once every slice is
 // complete. Each owner looks after its own slice is recorded complete, so the
 // last of them sees all.
@@ -625,12 +613,10 @@
 				continue
 			}
 			left++
-			key := assignmentKey(zone, id)
+			key := records.AssignmentKey(zone, id)
 			c.readKey(key, true, func(r ReadResult) {
 				left--
-				var v assignmentRecord
-				if r.Outcome != OutcomeOK || !r.Found || json.Unmarshal(r.Item.Value, &v) != nil ||
-					len(v.Waiting) > 0 || len(v.Placed) > 0 {
+				if !isComplete(r) {
 					all = false
 				} else {
 					f.others = append(f.others, Condition{key, r.Item.Revision})
--- a/internal/core/status.go
+++ b/internal/core/status.go
@@ -130,7 +130,7 @@
 				continue
 			}
 			ps.Jobs++
-			w, r := assignment.waiting.count(), len(assignment.tasks)
+			w, r := assignment.waiting.Count(), len(assignment.tasks)
 			ps.Waiting += w
 			ps.Running += r
 			waiting[assignment.job.class] += w
--- a/internal/core/ranges.go
+++ b/internal/records/ranges.go
@@ -1,12 +1,13 @@
-package core
+package records
 
 import "sort"
 
-// taskRanges is a set of task numbers as sorted, disjoint, half-open ranges. A
+// TaskRanges is a set of task numbers as sorted, disjoint, half-open ranges. A
 // job of 100,000 tasks stays a few numbers long.
-type taskRanges [][2]int
+type TaskRanges [][2]int
 
-func (r taskRanges) count() int {
+// Count is how many numbers are in the set.
+func (r TaskRanges) Count() int {
 	n := 0
 	for _, x := range r {
 		n += x[1] - x[0]
@@ -15,17 +16,19 @@
 }
 
 // find returns the position of the first range that ends after i.
-func (r taskRanges) find(i int) int {
+func (r TaskRanges) find(i int) int {
 	return sort.Search(len(r), func(k int) bool { return r[k][1] > i })
 }
 
-func (r taskRanges) has(i int) bool {
+// Has reports whether a number is in the set.
+func (r TaskRanges) Has(i int) bool {
 	k := r.find(i)
 	return k < len(r) && r[k][0] <= i
 }
 
-func (r *taskRanges) add(i int) {
-	if r.has(i) {
+// Add adds a number; one that is there already changes nothing.
+func (r *TaskRanges) Add(i int) {
+	if r.Has(i) {
 		return
 	}
 	k := r.find(i)
@@ -46,8 +49,9 @@
 	}
 }
 
-func (r *taskRanges) remove(i int) {
-	if !r.has(i) {
+// Remove removes a number; one that is not there changes nothing.
+func (r *TaskRanges) Remove(i int) {
+	if !r.Has(i) {
 		return
 	}
 	k := r.find(i)
@@ -67,8 +71,9 @@
 	}
 }
 
-// first lists up to n members, lowest first.
-func (r taskRanges) first(n int) []int {
+// First lists up to n members, lowest first.
+// First lists up to n numbers, lowest first.
+func (r TaskRanges) First(n int) []int {
 	var out []int
 	for _, x := range r {
 		for i := x[0]; i < x[1]; i++ {
@@ -81,4 +86,5 @@
 	return out
 }
 
-func (r taskRanges) clone() taskRanges { return append(taskRanges(nil), r...) }
+// Clone copies the set.
+func (r TaskRanges) Clone() TaskRanges { return append(TaskRanges(nil), r...) }
