--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -8,11 +8,10 @@
 	"math"
 	"net"
 	"os"
+	"roadcleat/internal/leadership"
 	"slices"
 	"strings"
 	"time"
-
-	"roadcleat/internal/core"
 )
 
 // Settings is the platform's file. Fields it does not name are ignored.
@@ -304,7 +303,7 @@
 	var out []string
 	warn := func(format string, args ...any) { out = append(out, fmt.Sprintf(format, args...)) }
 	enough := math.Ceil((w.LeaseSeconds + answeredShare + 2) / 0.99)
-	switch answer := core.AnswerWindow(Seconds(w.LeaseSeconds), Seconds(w.CancelSeconds)).Seconds(); {
+	switch answer := leadership.AnswerWindow(Seconds(w.LeaseSeconds), Seconds(w.CancelSeconds)).Seconds(); {
 	case answer <= 0:
 		warn("deployment.workers.cancel_s: with %g no worker can ever be answered, since its lease of %g s must be over by then; %g would do", w.CancelSeconds, w.LeaseSeconds, enough)
 	case answer < answeredShare:
--- a/internal/core/backfill.go
+++ b/internal/core/backfill.go
@@ -97,7 +97,7 @@
 // backfillRoomOn is what backfill may still take of a part's machines of a type, as its owner
 // last said or as was last reckoned here.
 func (c *Core) backfillRoomOn(shard *Shard, typ int) float64 {
-	if !shard.owned || !shard.loaded {
+	if !shard.servedHere() {
 		if shard.view == nil {
 			return 0
 		}
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -3,6 +3,7 @@
 import (
 	"log/slog"
 	"math/rand/v2"
+	"roadcleat/internal/leadership"
 	"roadcleat/internal/model"
 	"roadcleat/internal/records"
 	"slices"
@@ -88,10 +89,7 @@
 	cloudOKAt                 time.Duration // when the cloud last answered a listing
 	cloudBadSince             time.Duration
 	foreignHeartbeats         map[string]map[string]time.Duration // workers of others' parts, by zone
-	leaseID                   uint64
-	leaseRenewedAt            time.Duration // when the last good renewal was sent
-	leasePending              bool
-	leaseRetryAt              time.Duration
+	lease                     leadership.Lease
 	storeOKAt                 time.Duration // when a call that then succeeded was last sent
 	storeBadSince             time.Duration
 	storeSeen                 bool
@@ -99,7 +97,7 @@
 	jobWatch                  watchState
 	nextGossipAt              time.Duration
 	gossipSeq                 uint64
-	gossipSentAt              map[uint64]time.Duration // when my gossip of late was sent, by number
+	confirmations             *leadership.Confirmations
 	recentCancellations       []cancellationNotice
 	submissionQueue           []*submission
 	nextBatchAt               time.Duration
@@ -149,25 +147,13 @@
 	}
 }
 
-// watchState is how far this controller has followed a prefix of the store.
-type watchState struct {
-	prefix     string
-	loaded     bool
-	pending    bool
-	revision   uint64
-	knownUntil time.Duration // everything before this moment is known
-	knownFrom  time.Duration // everything after this moment up to fresh is known
-	hasData    bool          // fresh is meaningful
-	nextCallAt time.Duration
-}
-
 // New makes a controller that owns nothing yet.
 func New(cfg Config) *Core {
 	c := &Core{
 		cfg: cfg, pendingCalls: map[uint64]func(Result){}, callCounts: map[string]int{},
 		rng:  rand.New(rand.NewPCG(cfg.Seed, cfg.Epoch)),
 		jobs: map[string]*Job{}, finished: map[string]model.JobState{}, submissionsByJob: map[string]*submission{}, openQueries: map[string][]uint64{},
-		jobCounts: map[string][]JobCounts{}, foreignHeartbeats: map[string]map[string]time.Duration{}, gossipSentAt: map[uint64]time.Duration{}, fetchSecondsPerGB: map[int]float64{},
+		jobCounts: map[string][]JobCounts{}, foreignHeartbeats: map[string]map[string]time.Duration{}, fetchSecondsPerGB: map[int]float64{},
 		shardWatch: watchState{prefix: records.ShardPrefix}, jobWatch: watchState{prefix: records.JobPrefix},
 	}
 	c.cfg.Tuning = cfg.Tuning.Effective(cfg.HeartbeatInterval, cfg.WorkerLease)
@@ -181,9 +167,11 @@
 		c.teamConfigs = append(c.teamConfigs, t)
 	}
 	c.underGuarantee = make([]bool, len(c.teamConfigs))
-	for _, p := range cfg.Peers {
-		c.peers = append(c.peers, &Peer{PeerConfig: p, lastHeardAt: -time.Hour})
+	for i, p := range cfg.Peers {
+		c.peers = append(c.peers, &Peer{PeerConfig: p, index: i, lastHeardAt: -time.Hour})
 	}
+	c.confirmations = leadership.NewConfirmations(len(c.peers))
+	c.lease = leadership.NewLease(c.cfg.Tuning.LeaseTTL)
 	return c
 }
 
@@ -236,7 +224,7 @@
 		c.logCallCounts()
 	}
 	for _, shard := range c.shards {
-		if shard.owned && shard.loaded {
+		if shard.servedHere() {
 			c.runShard(shard)
 		}
 	}
@@ -269,11 +257,11 @@
 	c.clockJumpAt = c.now
 	c.warn("stood still", "for", seconds(gap))
 	for _, shard := range c.shards {
-		if !shard.owned {
+		if !shard.claim.Owned() {
 			continue
 		}
 		shard.lastHeartbeatAt += gap
-		shard.homeWellSince = 0
+		shard.claim.ResetHome()
 		for i := range shard.demandSamples {
 			shard.demandSamples[i].at += gap
 		}
@@ -294,11 +282,6 @@
 	return c.overloadedAt > 0 && c.now < c.overloadedAt+2*c.cfg.HeartbeatInterval+5*time.Second
 }
 
-// leaseConfirmed says whether the state service has confirmed this controller's lease
-// since it last stood still. Before that its parts may long be others', and it
-// neither returns nor hires machines for them.
-func (c *Core) leaseConfirmed() bool { return c.leaseRenewedAt >= c.clockJumpAt }
-
 func (c *Core) emit(e Effect) { c.effects = append(c.effects, e) }
 
 func (c *Core) debug(text string, args ...any) { c.emit(LogEvent{slog.LevelDebug, text, args}) }
@@ -390,7 +373,7 @@
 	}
 	owned := 0
 	for _, shard := range c.shards {
-		if shard.owned || shard.claiming {
+		if shard.claim.OwnedOrPending() {
 			owned++
 		}
 	}
@@ -588,3 +571,8 @@
 	}
 	return true
 }
+
+// storeReachable says whether the state service answered lately.
+func (c *Core) storeReachable() bool {
+	return c.storeSeen && c.now < c.storeOKAt+4*time.Second
+}
--- a/internal/core/dealing.go
+++ b/internal/core/dealing.go
@@ -51,7 +51,7 @@
 
 // shardDevices is a part's machines: by own knowledge, or by its owner's word.
 func (c *Core) shardDevices(shard *Shard) []device {
-	if !shard.owned || !shard.loaded {
+	if !shard.servedHere() {
 		return c.reportedDevices(shard)
 	}
 	if shard.devices == nil || c.now > shard.devicesAt+500*time.Millisecond {
--- a/internal/core/demand.go
+++ b/internal/core/demand.go
@@ -118,7 +118,7 @@
 // once, room for what the recent past suggests, idle ones back when neither
 // needs them.
 func (c *Core) sizeFleet(shard *Shard) {
-	if len(c.types) == 0 || shard.handingOver || !c.leaseConfirmed() {
+	if len(c.types) == 0 || shard.claim.HandingOver() || !c.leaseConfirmed() {
 		return
 	}
 	defer c.sendRentals(shard)
@@ -136,7 +136,7 @@
 	may := c.mayStartTasks() && c.storeReachable() && c.fleetKnown(shard)
 	if c.noHeartbeats(shard) && !shard.hadNoHeartbeats {
 		shard.hadNoHeartbeats = true
-		c.warn("part is dark: none of its workers is heard here", "part", shard.name, "token", shard.token)
+		c.warn("part is dark: none of its workers is heard here", "part", shard.name, "token", shard.claim.Token())
 	}
 	clear(shard.exports)
 	if may {
@@ -312,7 +312,7 @@
 			}
 		}
 	}
-	c.info("part load", "part", shard.name, "token", shard.token, "cores", all, "spot", spot, "booting", boots,
+	c.info("part load", "part", shard.name, "token", shard.claim.Token(), "cores", all, "spot", spot, "booting", boots,
 		"running", run, "fetching", wait, "demand", demand)
 }
 
--- a/internal/core/explain.go
+++ b/internal/core/explain.go
@@ -45,7 +45,7 @@
 	for _, shard := range c.shards {
 		assignment := shard.assignments[id]
 		if assignment == nil {
-			if share, heard := c.peerExplanation(shard, id); heard || zones[shard.name] && !shard.owned {
+			if share, heard := c.peerExplanation(shard, id); heard || zones[shard.name] && !shard.claim.Owned() {
 				e.Shards = append(e.Shards, share)
 			}
 			continue
@@ -68,13 +68,13 @@
 
 // peerExplanation is what another part's owner said lately of its share of a job.
 func (c *Core) peerExplanation(shard *Shard, id string) (ShardExplanation, bool) {
-	share := ShardExplanation{Shard: shard.name, Owner: shard.owner, Reason: c.whyUnaccounted(shard)}
+	share := ShardExplanation{Shard: shard.name, Owner: shard.claim.Owner(), Reason: c.whyUnaccounted(shard)}
 	if share.Reason != ReasonNone {
 		share.Text = share.Reason.String()
 		return share, false
 	}
 	for _, s := range c.jobCounts[shard.name] {
-		if s.ID == id && !shard.owned {
+		if s.ID == id && !shard.claim.Owned() {
 			share.Done, share.Waiting, share.RunningCount, share.Reason = s.Done, s.Waiting, s.Running, s.Reason
 			if s.Reason != ReasonNone {
 				share.Text = s.Reason.String()
@@ -101,7 +101,7 @@
 func (c *Core) DescribePlacements() []string {
 	var out []string
 	for _, shard := range c.shards {
-		if !shard.owned {
+		if !shard.claim.Owned() {
 			continue
 		}
 		for t, u := range shard.teamUsage {
@@ -134,7 +134,7 @@
 		return plain(ReasonStoreUnavailable)
 	case !c.mayStartTasks():
 		return plain(ReasonViewStale)
-	case shard.handingOver:
+	case shard.claim.HandingOver():
 		return plain(ReasonShardHandover)
 	case len(shard.unknownKeys) > 0:
 		return plain(ReasonOutcomeUnknown)
--- a/internal/core/faults.go
+++ b/internal/core/faults.go
@@ -34,7 +34,7 @@
 		return true
 	}
 	for _, shard := range c.shards {
-		if shard.owned {
+		if shard.claim.Owned() {
 			if s := shard.assignments[job.id]; s != nil && len(s.done) > 0 {
 				job.succeeded = true
 			}
@@ -169,7 +169,7 @@
 		job.failedTrials, job.nextTrialAt, job.holdUntil = 0, 0, 0
 	}
 	for _, shard := range c.shards {
-		if !shard.owned {
+		if !shard.claim.Owned() {
 			continue
 		}
 		shard.needsPlan = true
--- a/internal/core/hiring.go
+++ b/internal/core/hiring.go
@@ -283,23 +283,23 @@
 	c.debug("to hire", "type", o.Type, "spot", o.Spot, "number", count, "for", why, "part", shard.name)
 	shard.rentalSeq++
 	// The token makes the name this ownership's own, the counter this request's.
-	name := fmt.Sprintf("r-%s-%d-%d", shard.name, shard.token, shard.rentalSeq)
+	name := fmt.Sprintf("r-%s-%d-%d", shard.name, shard.claim.Token(), shard.rentalSeq)
 	shard.rentals = append(shard.rentals, &rental{typeIndex: c.typeIndex.lookup(o.Type), requestedAt: c.now,
 		request: RentHosts{Name: name, Type: o.Type, Zone: shard.name, Spot: o.Spot, Count: count}})
 	return count
 }
 
 func (c *Core) sendRentals(shard *Shard) {
-	term := shard.term
+	term := shard.claim.Term()
 	for _, rental := range shard.rentals {
 		if rental.pending || c.now < rental.retryAt {
 			continue
 		}
 		rental.pending = true
 		rental.attempts++
-		c.info("hiring", "name", rental.request.Name, "type", rental.request.Type, "spot", rental.request.Spot, "number", rental.request.Count, "part", shard.name, "token", shard.token)
+		c.info("hiring", "name", rental.request.Name, "type", rental.request.Type, "spot", rental.request.Spot, "number", rental.request.Count, "part", shard.name, "token", shard.claim.Token())
 		call(c, rental.request, func(res RentResult) {
-			if !shard.owned || shard.term != term {
+			if !shard.ownedIn(term) {
 				return
 			}
 			rental.pending = false
--- a/internal/core/hosts.go
+++ b/internal/core/hosts.go
@@ -122,7 +122,7 @@
 // one sent long ago, by a machine that may be gone.
 func (h *Host) isUsable(now time.Duration) bool {
 	return h.state == hostUp && h.reclaimedAt == 0 && !h.leaseExpired && !h.faulty && !h.unreachable && !h.cordoned && now >= h.blockedUntil &&
-		h.incarnation > 0 && h.token >= h.shard.term && now < h.lastHeard+h.heartbeatTimeout
+		h.incarnation > 0 && h.token >= h.shard.claim.Term() && now < h.lastHeard+h.heartbeatTimeout
 }
 
 // countsForPlans says whether the plans count on the host: it can take work now or is
@@ -133,7 +133,7 @@
 
 // isJoining says whether a machine is up and about to show that it hears me.
 func (h *Host) isJoining(now time.Duration) bool {
-	return h.state == hostUp && h.incarnation > 0 && h.token < h.shard.term && h.reclaimedAt == 0 && !h.faulty && !h.unreachable && now < h.since+5*time.Second
+	return h.state == hostUp && h.incarnation > 0 && h.token < h.shard.claim.Term() && h.reclaimedAt == 0 && !h.faulty && !h.unreachable && now < h.since+5*time.Second
 }
 
 func (c *Core) hostByName(shard *Shard, name string) *Host {
--- a/internal/core/jobs.go
+++ b/internal/core/jobs.go
@@ -77,7 +77,7 @@
 	for _, zone := range sorted(v.Split) {
 		r := v.Split[zone]
 		z := c.zones.lookup(zone)
-		if z < 0 || !c.shards[z].owned || !c.shards[z].loaded {
+		if z < 0 || !c.shards[z].servedHere() {
 			continue
 		}
 		shard := c.shards[z]
@@ -99,8 +99,8 @@
 
 // readAssignment takes up a slice that the part should have.
 func (c *Core) readAssignment(shard *Shard, id string) {
-	term := shard.term
-	valid := func() bool { return shard.owned && shard.loaded && shard.term == term }
+	term := shard.claim.Term()
+	valid := func() bool { return shard.servedHere() && shard.claim.Term() == term }
 	c.readUntilAnswered(records.AssignmentKey(shard.name, id), valid, func(res ReadResult) {
 		if res.Found {
 			c.applyAssignmentRecord(shard, id, res.Item.Value, res.Item.Revision)
@@ -214,7 +214,7 @@
 	job.state = s
 	for _, shard := range c.shards {
 		assignment := shard.assignments[id]
-		if !shard.owned || assignment == nil {
+		if !shard.claim.Owned() || assignment == nil {
 			continue
 		}
 		assignment.job.state = s
@@ -403,7 +403,7 @@
 		return r
 	}
 	for _, shard := range c.shards {
-		if shard.owned && shard.loaded {
+		if shard.servedHere() {
 			if assignment := shard.assignments[id]; assignment != nil {
 				r.Done += assignment.done.Count()
 				r.Running += assignment.running()
--- a/internal/core/launches.go
+++ b/internal/core/launches.go
@@ -18,7 +18,7 @@
 func (c *Core) onPlaced(shard *Shard, task *Task) {
 	task.phase = taskPlaced
 	c.stats.Placed++
-	c.info("task placed", "job", task.id.Job, "task", task.id.Index, "host", task.host.name, "part", shard.name, "token", shard.token, "attempt", task.attempt)
+	c.info("task placed", "job", task.id.Job, "task", task.id.Index, "host", task.host.name, "part", shard.name, "token", shard.claim.Token(), "attempt", task.attempt)
 	host := task.host
 	switch {
 	case host.state == hostGone:
@@ -165,7 +165,7 @@
 				continue
 			}
 			task.launchSent = true
-			host.launchesInFlight[launchKey{o.Task, o.Attempt}] = sentLaunch{shard.token, host.incarnation}
+			host.launchesInFlight[launchKey{o.Task, o.Attempt}] = sentLaunch{shard.claim.Token(), host.incarnation}
 		}
 		commands = append(commands, o)
 	}
@@ -174,11 +174,11 @@
 		return
 	}
 	host.commandPending = true
-	token := shard.token
-	term := shard.term
+	token := shard.claim.Token()
+	term := shard.claim.Term()
 	call(c, SendCommands{host.address, token, host.incarnation, commands}, func(res WorkerResult) {
 		host.commandPending = false
-		if !shard.owned || shard.term != term {
+		if !shard.ownedIn(term) {
 			return
 		}
 		c.recordWorkerAnswer(shard, host, res.Outcome == OutcomeOK || res.Outcome == OutcomeRefused)
@@ -198,7 +198,7 @@
 		}
 		if res.Status != nil && res.Status.Host == host.name {
 			c.applyWorkerStatus(shard, host, res.Status, false)
-			if res.Outcome == OutcomeRefused && res.Status.Token > shard.token {
+			if res.Outcome == OutcomeRefused && res.Status.Token > shard.claim.Token() {
 				c.loseShard(shard, "a worker shows a higher token")
 				c.shardWatch.loaded = false
 			}
@@ -220,7 +220,7 @@
 // A worker that has not reported yet is asked for its session first. An owner that is
 // overloaded leaves it at the answers to reports, which carry the token as well.
 func (c *Core) probe(shard *Shard, host *Host) {
-	if host.token >= shard.term || host.probing || host.address == "" || c.now < host.nextProbeAt || host.state == hostReturning || c.isOverloaded() || c.openProbes >= max(c.cfg.MaxWorkerCalls/2, minProbes) {
+	if host.token >= shard.claim.Term() || host.probing || host.address == "" || c.now < host.nextProbeAt || host.state == hostReturning || c.isOverloaded() || c.openProbes >= max(c.cfg.MaxWorkerCalls/2, minProbes) {
 		return
 	}
 	c.openProbes++
@@ -229,9 +229,9 @@
 		c.openProbes--
 		host.probing = false
 	}
-	term, token := shard.term, shard.token
+	term, token := shard.claim.Term(), shard.claim.Token()
 	accept := func(res WorkerResult) bool {
-		if !shard.owned || shard.term != term {
+		if !shard.ownedIn(term) {
 			return false
 		}
 		heard := res.Status != nil && res.Status.Host == host.name
@@ -241,7 +241,7 @@
 			host.failedProbes = 0
 			c.applyWorkerStatus(shard, host, res.Status, false)
 		}
-		return heard && shard.owned && shard.term == term
+		return heard && shard.ownedIn(term)
 	}
 	order := func() {
 		call(c, SendCommands{host.address, token, host.incarnation, nil}, func(res WorkerResult) {
--- a/internal/core/market.go
+++ b/internal/core/market.go
@@ -59,7 +59,7 @@
 func (c *Core) rentedMachines() fleetCounts {
 	r := fleetCounts{make([]float64, len(c.shards)*len(c.types)*2), make([]float64, len(c.types)*2), make([]float64, len(c.types)*2)}
 	for z, shard := range c.shards {
-		if shard.owned && shard.loaded {
+		if shard.servedHere() {
 			for _, host := range shard.hostList() {
 				if host.typeIndex >= 0 && (host.state == hostUp || host.state == hostBooting) {
 					r.byKind[c.kindIndex(z, host.typeIndex, host.spot)]++
@@ -124,7 +124,7 @@
 			if c.isExhausted(shard, MachineKind{typ.Name, spot}) {
 				wait, penalty = wait+90, 0
 			}
-			if !shard.owned && (shard.view == nil || c.now > shard.viewAt+3*time.Second) {
+			if !shard.claim.Owned() && (shard.view == nil || c.now > shard.viewAt+3*time.Second) {
 				wait += 15 // nobody is known to look after that part now
 			}
 			if c.reportsNoHeartbeats(shard) {
@@ -146,14 +146,14 @@
 
 // reportsNoHeartbeats says whether a part is dark by own knowledge or its owner's word.
 func (c *Core) reportsNoHeartbeats(shard *Shard) bool {
-	if shard.owned {
+	if shard.claim.Owned() {
 		return c.noHeartbeats(shard)
 	}
 	return shard.view != nil && shard.view.NoHeartbeats
 }
 
 func (c *Core) isExhausted(shard *Shard, o MachineKind) bool {
-	if shard.owned {
+	if shard.claim.Owned() {
 		return c.now < shard.exhaustedUntil[o]
 	}
 	if shard.view != nil {
--- a/internal/core/moves.go
+++ b/internal/core/moves.go
@@ -17,7 +17,7 @@
 // now. They are on no machine for certain; one transaction on both slices and
 // the job changes hands.
 func (c *Core) maybeRebalance(shard *Shard) {
-	if shard.movePending || c.now < shard.nextMoveAt || shard.txnPending || shard.claiming || shard.handingOver || len(shard.unknownKeys) > 0 || !c.mayStartTasks() {
+	if shard.movePending || c.now < shard.nextMoveAt || shard.busy() || !c.mayStartTasks() {
 		return
 	}
 	silent := c.noHeartbeats(shard) // machines that should be up any moment are not heard either
@@ -95,7 +95,7 @@
 // viewIsCurrent says whether a part is known as it is now: by own knowledge, or by its
 // owner's word of a moment ago.
 func (c *Core) viewIsCurrent(other *Shard) bool {
-	if other.owned {
+	if other.claim.Owned() {
 		return other.loaded
 	}
 	return other.view != nil && c.now <= other.viewAt+1500*time.Millisecond
@@ -121,12 +121,12 @@
 // moveTasks carries out a move: the other part's slice is read, then both change
 // together.
 func (c *Core) moveTasks(shard, to *Shard, assignment *Assignment, count int) {
-	job, token := assignment.job, shard.token
+	job, token := assignment.job, shard.claim.Token()
 	shard.movePending = true
 	key := records.AssignmentKey(to.name, job.id)
 	c.readKey(key, true, func(res ReadResult) {
 		shard.movePending = false
-		if res.Outcome != OutcomeOK || !shard.owned || shard.token != token || shard.txnPending || shard.claiming || shard.handingOver ||
+		if res.Outcome != OutcomeOK || !shard.ownedWith(token) || shard.txnPending || shard.claim.Pending() || shard.claim.HandingOver() ||
 			len(shard.unknownKeys) > 0 || shard.assignments[job.id] != assignment || job.state != model.JobPending || len(assignment.unrecordedExits) > 0 {
 			return
 		}
@@ -184,12 +184,12 @@
 				}
 			}
 		}
-		txn.txn.Conditions = []Condition{{shard.key(), shard.revision}, {records.AssignmentKey(shard.name, job.id), assignment.revision}, {job.key(), job.revision}, {key, res.Item.Revision}}
+		txn.txn.Conditions = []Condition{shard.ownerCondition(), {records.AssignmentKey(shard.name, job.id), assignment.revision}, {job.key(), job.revision}, {key, res.Item.Revision}}
 		txn.txn.Mutations = []Mutation{{Key: records.AssignmentKey(shard.name, job.id), Value: mineValue}, {Key: key, Value: theirs}, {Key: job.key(), Value: value}}
 		delete(shard.dirty, job.id)
 		c.forgetDemand(shard, job, len(ids))
 		c.stats.Rebalanced += uint64(len(ids))
-		c.info("tasks moved", "job", job.id, "tasks", len(ids), "from", shard.name, "to", to.name, "token", shard.token)
+		c.info("tasks moved", "job", job.id, "tasks", len(ids), "from", shard.name, "to", to.name, "token", shard.claim.Token())
 		c.sendTxn(txn)
 	})
 }
@@ -220,10 +220,10 @@
 // Nothing else may ever write the slice, as when its replicas run, and the tasks would
 // wait unseen. Where some wait, the next placement finds out.
 func (c *Core) checkForMovedTasks(shard *Shard, id string) {
-	term := shard.term
+	term := shard.claim.Term()
 	unsure := func() bool {
 		assignment, job := shard.assignments[id], c.jobs[id]
-		return shard.owned && shard.loaded && shard.term == term && assignment != nil && job != nil && assignment.revision < job.revision && len(assignment.waiting) == 0
+		return shard.servedHere() && shard.claim.Term() == term && assignment != nil && job != nil && assignment.revision < job.revision && len(assignment.waiting) == 0
 	}
 	c.after(moveAnnouncedWithin, func() {
 		switch {
--- a/internal/core/peers.go
+++ b/internal/core/peers.go
@@ -11,13 +11,11 @@
 // Peer is another controller as seen from here.
 type Peer struct {
 	PeerConfig
-	epoch          uint64
-	lastHeardAt    time.Duration
-	gossip         *Gossip
-	gossipAt       time.Duration
-	epochSince     time.Duration // since when this life of it is known
-	confirmedUntil time.Duration // it knew of my gossip of then, and told all until then
-	receivedGossip uint64        // the newest of my gossip that this life of it has heard
+	index       int // in Config.Peers
+	epoch       uint64
+	lastHeardAt time.Duration
+	gossip      *Gossip
+	gossipAt    time.Duration
 }
 
 func (c *Core) peer(label string) *Peer {
@@ -40,7 +38,8 @@
 func (c *Core) handlePeerMessage(from int, m Message) {
 	peer := c.peers[from]
 	if peer.epoch != m.Epoch {
-		peer.epoch, peer.epochSince, peer.confirmedUntil, peer.receivedGossip = m.Epoch, c.now, 0, 0
+		peer.epoch = m.Epoch
+		c.confirmations.NewEpoch(from, c.now)
 	}
 	peer.lastHeardAt = c.now
 	for _, it := range m.Jobs {
@@ -52,7 +51,7 @@
 			continue
 		}
 		z := c.zones.lookup(key.Zone)
-		if z < 0 || !c.shards[z].owned || !c.shards[z].loaded {
+		if z < 0 || !c.shards[z].servedHere() {
 			continue
 		}
 		if job := c.jobs[key.Job]; job != nil && it.Revision < job.revision {
@@ -65,8 +64,8 @@
 		c.applyAssignmentRecord(c.shards[z], key.Job, it.Value, it.Revision)
 	}
 	for _, zone := range m.ReleasedShards {
-		if z := c.zones.lookup(zone); z >= 0 && !c.shards[z].owned && !c.shards[z].claiming {
-			c.shards[z].offered = true
+		if z := c.zones.lookup(zone); z >= 0 && !c.shards[z].claim.Owned() && !c.shards[z].claim.Pending() {
+			c.shards[z].claim.Offer()
 			c.rereadShard(c.shards[z])
 		}
 	}
@@ -79,7 +78,7 @@
 		if t := c.teams.lookup(ask.Team); t >= 0 {
 			c.quotas[t].requests[from] = receivedRequest{ask, c.now}
 			for _, other := range c.shards {
-				if other.owned && other.loaded {
+				if other.servedHere() {
 					c.releaseGrant(other, t, true)
 				}
 			}
@@ -99,16 +98,13 @@
 	// before, all withdrawals that it had told anybody of by the time I sent that;
 	// packets may be held for long. Not so if I missed it for longer than it repeats
 	// withdrawals.
-	peer.receivedGossip = max(peer.receivedGossip, g.Received[c.cfg.Label])
-	if at, ok := c.gossipSentAt[g.Received[c.cfg.Label]]; ok && c.now < max(c.jobWatch.knownUntil, peer.confirmedUntil)+c.cfg.CancelWithin {
-		peer.confirmedUntil = max(peer.confirmedUntil, at)
-	}
+	c.confirmations.Received(peer.index, g.Received[c.cfg.Label], c.jobWatch.view, c.now, c.cfg.CancelWithin)
 	for i := range g.Shards {
 		v := &g.Shards[i]
 		z := c.zoneIndex(v.Zone)
 		other := c.shards[z]
-		if other.owned {
-			if v.Token > other.token {
+		if other.claim.Owned() {
+			if v.Token > other.claim.Token() {
 				c.loseShard(other, "a peer shows a higher token")
 				c.shardWatch.loaded = false
 			}
@@ -118,11 +114,7 @@
 			continue
 		}
 		other.view, other.viewAt, other.devices = v, c.now, nil
-		// An owner that lost the store goes on telling of a claim that is gone. Taken at
-		// its word it kept its part, in which it could start nothing, from the others.
-		if v.Token > other.revision && v.Token > other.removedRevision && !other.claiming {
-			other.owner, other.revision, other.recordKnown, other.freeSince = peer.Label, v.Token, true, 0
-		}
+		other.claim.ObserveGossip(peer.Label, v.Token)
 		c.jobCounts[v.Zone] = v.Jobs
 	}
 }
@@ -134,8 +126,7 @@
 	}
 	c.nextGossipAt = c.now + 500*time.Millisecond
 	c.gossipSeq++
-	c.gossipSentAt[c.gossipSeq] = c.now
-	delete(c.gossipSentAt, c.gossipSeq-120)
+	c.confirmations.Sent(c.gossipSeq, c.now)
 	g := &Gossip{Seq: c.gossipSeq, Received: map[string]uint64{}, StoreOK: c.storeReachable(), ValueFormat: int(records.FormatGrouped), CallRate: c.callRate, WorkersHeard: map[string]int{}, Isolated: c.now < c.isolatedUntil}
 	for zone, hosts := range c.foreignHeartbeats {
 		for name, at := range hosts {
@@ -151,7 +142,7 @@
 		}
 	}
 	for _, shard := range c.shards {
-		if shard.owned && shard.loaded && !shard.handingOver {
+		if shard.servedHere() && !shard.claim.HandingOver() {
 			v := c.shardView(shard)
 			c.jobCounts[shard.name] = v.Jobs
 			g.Shards = append(g.Shards, v)
@@ -171,7 +162,7 @@
 func (c *Core) cancellationsFor(peer *Peer) []Item {
 	var out []Item
 	for _, w := range c.recentCancellations {
-		if peer.receivedGossip < w.firstGossip {
+		if c.confirmations.ReceivedBy(peer.index) < w.firstGossip {
 			out = append(out, w.item)
 		}
 	}
@@ -186,7 +177,7 @@
 }
 
 func (c *Core) shardView(shard *Shard) ShardView {
-	v := ShardView{Zone: shard.name, Token: shard.token, TeamUsage: map[string]model.Resources{}, NoHeartbeats: c.noHeartbeats(shard)}
+	v := ShardView{Zone: shard.name, Token: shard.claim.Token(), TeamUsage: map[string]model.Resources{}, NoHeartbeats: c.noHeartbeats(shard)}
 	v.Hosts, v.Images = c.hostGroups(shard)
 	v.Backlog = c.backlog(shard)
 	v.BackfillRoom = map[string]float64{}
@@ -341,7 +332,7 @@
 func (c *Core) queueSeconds(shard *Shard, priority int) []float64 {
 	out := make([]float64, len(c.types))
 	var queue []Backlog
-	if shard.owned && shard.loaded {
+	if shard.servedHere() {
 		if shard.backlog == nil || c.now > shard.backlogAt+500*time.Millisecond {
 			shard.backlog, shard.backlogAt = c.backlog(shard), c.now
 		}
--- a/internal/core/planning.go
+++ b/internal/core/planning.go
@@ -25,7 +25,7 @@
 
 // runShard does what is due for a part: plans, records, sends.
 func (c *Core) runShard(shard *Shard) {
-	if shard.handingOver {
+	if shard.claim.HandingOver() {
 		return
 	}
 	c.resolveUnknownKeys(shard)
@@ -212,7 +212,7 @@
 func (c *Core) teamUsage(team int) model.Resources {
 	var sum model.Resources
 	for _, shard := range c.shards {
-		if shard.owned && shard.loaded {
+		if shard.servedHere() {
 			sum = sum.Plus(shard.teamUsage[team])
 		} else if shard.view != nil {
 			sum = sum.Plus(shard.view.TeamUsage[c.teamConfigs[team].Name])
--- a/internal/core/queues.go
+++ b/internal/core/queues.go
@@ -260,7 +260,7 @@
 func (c *Core) Gauges() Gauges {
 	g := Gauges{Stats: c.stats}
 	for _, shard := range c.shards {
-		if shard.owned && shard.loaded {
+		if shard.servedHere() {
 			g.Queues = append(g.Queues, c.shardQueues(shard, c.nextHostsUp(shard))...)
 			replicas, _ := c.countTasks(shard, func(j *Job) bool { return j.spec.Service })
 			g.Replicas = append(g.Replicas, replicas...)
@@ -279,11 +279,11 @@
 // whyUnaccounted says why a part's tasks are not accounted for here; NoReason if they are.
 func (c *Core) whyUnaccounted(shard *Shard) Reason {
 	switch {
-	case shard.owned && shard.loaded:
+	case shard.servedHere():
 		return ReasonNone
-	case shard.owned || shard.claiming:
+	case shard.claim.OwnedOrPending():
 		return ReasonShardLoading
-	case shard.owner == "":
+	case shard.claim.Owner() == "":
 		return ReasonShardUnowned
 	case shard.view == nil || c.now > shard.viewAt+gossipValidFor:
 		return ReasonOwnerSilent
@@ -324,7 +324,7 @@
 // addReplicas adds a part's replicas: by own knowledge, or by its owner's last word.
 func (c *Core) addReplicas(shard *Shard, of map[string]*ServiceStatus) {
 	switch {
-	case shard.owned && shard.loaded:
+	case shard.servedHere():
 		first := c.nextHostsUp(shard)
 		for id, assignment := range shard.assignments {
 			if of[id] != nil {
@@ -355,7 +355,7 @@
 	out := []Queue{}
 	for _, shard := range c.shards {
 		switch {
-		case shard.owned && shard.loaded:
+		case shard.servedHere():
 			out = append(out, c.shardQueues(shard, c.nextHostsUp(shard))...)
 		case shard.view != nil && c.whyUnaccounted(shard) == ReasonNone:
 			out = append(out, shard.view.Queues...)
--- a/internal/core/quota.go
+++ b/internal/core/quota.go
@@ -234,7 +234,7 @@
 		c.readQuota(quota)
 		return false
 	}
-	if quota.readPending || shard.txnPending || shard.claiming || shard.handingOver || len(shard.unknownKeys) > 0 {
+	if quota.readPending || shard.busy() {
 		return false
 	}
 	mine, used, limit := quota.grants[shard.name], shard.teamUsage[team], c.teamConfigs[team].Limit
@@ -276,7 +276,7 @@
 	quota.reducedGrants[shard.name] = reducedGrant{quota.revision, sure}
 	value := next.Encode()
 	txn := &pendingTxn{shard: shard, quotas: map[*TeamQuota]records.Grants{quota: next}}
-	txn.txn = Txn{Conditions: []Condition{{shard.key(), shard.revision}, {quota.key(), quota.revision}}, Mutations: []Mutation{{Key: quota.key(), Value: value}}}
+	txn.txn = Txn{Conditions: []Condition{shard.ownerCondition(), {quota.key(), quota.revision}}, Mutations: []Mutation{{Key: quota.key(), Value: value}}}
 	c.sendTxn(txn)
 	return true
 }
@@ -293,7 +293,7 @@
 	// My other parts first: while the key is being read they give nothing back,
 	// and one owner of several parts kept a team's work waiting for ever.
 	for _, shard := range c.shards {
-		if shard.owned && shard.loaded && c.releaseGrant(shard, team, true) {
+		if shard.servedHere() && c.releaseGrant(shard, team, true) {
 			return
 		}
 	}
--- a/internal/core/reports.go
+++ b/internal/core/reports.go
@@ -40,21 +40,21 @@
 func (c *Core) handleHeartbeat(e Heartbeat) {
 	status := &e.Status
 	shard := c.shards[c.zoneIndex(status.Zone)]
-	if !shard.owned || shard.handingOver {
+	if !shard.claim.Owned() || shard.claim.HandingOver() {
 		if c.foreignHeartbeats[status.Zone] == nil {
 			c.foreignHeartbeats[status.Zone] = map[string]time.Duration{}
 		}
 		c.foreignHeartbeats[status.Zone][status.Host] = c.now
 		r := HeartbeatReply{RequestID: e.RequestID, Status: 421}
-		if peer := c.peer(shard.owner); peer != nil && c.now < peer.lastHeardAt+3*time.Second {
+		if peer := c.peer(shard.claim.Owner()); peer != nil && c.now < peer.lastHeardAt+3*time.Second {
 			r.Owner = peer.Label
-		} else if shard.owner == c.cfg.Label || shard.claiming {
+		} else if shard.claim.Owner() == c.cfg.Label || shard.claim.Pending() {
 			r.Status = 503
 		}
 		c.emit(r)
 		return
 	}
-	if status.Token > shard.token {
+	if status.Token > shard.claim.Token() {
 		// Somebody was entitled after me: step down at once.
 		c.loseShard(shard, "a worker shows a higher token")
 		c.shardWatch.loaded = false
@@ -68,14 +68,14 @@
 	host := c.hostByName(shard, status.Host)
 	late := status.Incarnation < host.incarnation || status.Incarnation == host.incarnation && status.Seq <= host.heartbeatSeq || host.isStale(status)
 	c.applyWorkerStatus(shard, host, status, true)
-	if late || !shard.owned || host.state == hostGone {
+	if late || !shard.claim.Owned() || host.state == hostGone {
 		c.emit(HeartbeatReply{RequestID: e.RequestID, Status: 503})
 		return
 	}
 	host.heartbeatSeq = status.Seq
 	if c.cancelledLaunchInFlight(shard, host) {
-		if shard.raiseTokenAt == 0 {
-			shard.raiseTokenAt = c.now + time.Second
+		if !shard.claim.TokenRaiseRequested() {
+			shard.claim.RaiseTokenAt(c.now + raiseTokenPause)
 		}
 		c.emit(HeartbeatReply{RequestID: e.RequestID, Status: 503})
 		return
@@ -83,7 +83,7 @@
 	host.lastAnswer, host.leaseExpired = c.now, false
 	c.recordContact(host)
 	c.probe(shard, host)
-	c.emit(HeartbeatReply{RequestID: e.RequestID, Status: 200, Token: shard.token, Commands: c.commandsFor(shard, host)})
+	c.emit(HeartbeatReply{RequestID: e.RequestID, Status: 200, Token: shard.claim.Token(), Commands: c.commandsFor(shard, host)})
 }
 
 // commandsFor lists what the worker should do by its newest report. They go into
@@ -146,7 +146,7 @@
 // token can't be raised, as when the state service is out, it must not be answered.
 func (c *Core) cancelledLaunchInFlight(shard *Shard, host *Host) bool {
 	for k, l := range host.launchesInFlight {
-		if c.finished[k.task.Job] == model.JobCancelled && l.token == shard.token && host.reported[k.task].Attempt != k.attempt {
+		if c.finished[k.task.Job] == model.JobCancelled && l.token == shard.claim.Token() && host.reported[k.task].Attempt != k.attempt {
 			return true
 		}
 	}
@@ -221,7 +221,7 @@
 	c.recordContact(host)
 	if shard.lastHeartbeatAt = c.now; shard.hadNoHeartbeats {
 		shard.hadNoHeartbeats = false
-		c.info("part heard again", "part", shard.name, "token", shard.token)
+		c.info("part heard again", "part", shard.name, "token", shard.claim.Token())
 	}
 	if status.Token > host.token {
 		host.token = status.Token
@@ -231,7 +231,7 @@
 			}
 		}
 	}
-	if host.token >= shard.term && host.confirmedAt == 0 {
+	if host.token >= shard.claim.Term() && host.confirmedAt == 0 {
 		host.confirmedAt = c.now
 		shard.needsPlan = true // it may be used from now on
 	}
@@ -261,7 +261,7 @@
 			continue // another attempt of it is there: the task has not left
 		}
 		_, inFlight := host.launchesInFlight[launchKey{id, task.attempt}]
-		if host.token < shard.term || inFlight || host.commandPending {
+		if host.token < shard.claim.Term() || inFlight || host.commandPending {
 			continue
 		}
 		switch {
--- a/internal/core/returns.go
+++ b/internal/core/returns.go
@@ -70,7 +70,7 @@
 func (c *Core) maintainHosts() {
 	c.listHosts()
 	for _, shard := range c.shards {
-		if !shard.owned || shard.handingOver {
+		if !shard.claim.Owned() || shard.claim.HandingOver() {
 			continue
 		}
 		sure := c.leaseConfirmed()
@@ -163,10 +163,10 @@
 			host.commands = nil
 			names = append(names, host.name)
 		}
-		c.info("hosts returned", "part", shard.name, "token", shard.token, "hosts", names)
-		term := shard.term
+		c.info("hosts returned", "part", shard.name, "token", shard.claim.Token(), "hosts", names)
+		term := shard.claim.Term()
 		call(c, ReturnHosts{names}, func(res ReturnResult) {
-			if !shard.owned || shard.term != term {
+			if !shard.ownedIn(term) {
 				return
 			}
 			if res.Outcome != OutcomeOK {
@@ -209,7 +209,7 @@
 func (c *Core) listHosts() {
 	owns := false
 	for _, p := range c.shards {
-		owns = owns || p.owned
+		owns = owns || p.claim.Owned()
 	}
 	if !owns || c.listPending || c.now < c.nextListAt || len(c.types) == 0 {
 		return
@@ -218,8 +218,8 @@
 	c.listPending, c.nextListAt = true, asked+listInterval
 	sent := map[*Shard]uint64{}
 	for _, shard := range c.shards {
-		if shard.owned {
-			sent[shard] = shard.term
+		if shard.claim.Owned() {
+			sent[shard] = shard.claim.Term()
 		}
 	}
 	call(c, ListHosts{}, func(res HostsResult) {
@@ -236,7 +236,7 @@
 		for _, l := range res.Hosts {
 			listed[l.Name] = true
 			shard := c.shards[c.zoneIndex(l.Zone)]
-			if _, gone := shard.returnedHosts[l.Name]; !shard.owned || gone {
+			if _, gone := shard.returnedHosts[l.Name]; !shard.claim.Owned() || gone {
 				continue
 			}
 			host := shard.hosts[l.Name]
@@ -262,7 +262,7 @@
 			}
 		}
 		for shard, term := range sent {
-			if !shard.owned || shard.term != term {
+			if !shard.ownedIn(term) {
 				continue
 			}
 			shard.hostsListed = true
--- a/internal/core/slices.go
+++ b/internal/core/slices.go
@@ -220,10 +220,10 @@
 // sendTxn sends an owner's transaction; the part does one at a time.
 func (c *Core) sendTxn(txn *pendingTxn) {
 	shard := txn.shard
-	txn.token = shard.token
+	txn.token = shard.claim.Token()
 	shard.txnPending = true
 	c.commitWith(CommitTxn{Txn: txn.txn, Urgent: true, Background: true}, func(res CommitResult) {
-		if shard.owned && shard.token == txn.token {
+		if shard.claim.Owned() && shard.claim.Token() == txn.token {
 			c.onTxnResult(txn, res)
 		}
 	})
@@ -264,7 +264,7 @@
 			}
 		}
 		for _, job := range txn.doneJobs {
-			c.info("job done", "job", job.id, "part", shard.name, "token", shard.token)
+			c.info("job done", "job", job.id, "part", shard.name, "token", shard.claim.Token())
 			c.finishJob(job.id, model.JobDone)
 		}
 		for _, id := range txn.droppedJobs {
@@ -275,7 +275,7 @@
 		shard.needsPlan = true
 	case OutcomeRefused:
 		c.stats.Conflicts++
-		c.debug("transaction refused", "part", shard.name, "token", shard.token, "keys", res.FailedKeys)
+		c.debug("transaction refused", "part", shard.name, "token", shard.claim.Token(), "keys", res.FailedKeys)
 		c.rollBack(txn)
 		for _, k := range res.FailedKeys {
 			shard.unknownKeys[k] = false
@@ -313,7 +313,7 @@
 	for i := range txn.movedAssignments {
 		txn.movedAssignments[i].Revision = revision
 		key := records.ParseKey(txn.movedAssignments[i].Key)
-		if to := c.shards[c.zoneIndex(key.Zone)]; to.owned && to.loaded {
+		if to := c.shards[c.zoneIndex(key.Zone)]; to.servedHere() {
 			c.applyAssignmentRecord(to, key.Job, txn.movedAssignments[i].Value, revision)
 		}
 	}
@@ -356,14 +356,14 @@
 	if len(shard.unknownKeys) == 0 || c.now < shard.retryAt {
 		return
 	}
-	token := shard.token
+	token := shard.claim.Token()
 	for _, key := range sorted(shard.unknownKeys) {
 		if shard.unknownKeys[key] {
 			continue
 		}
 		shard.unknownKeys[key] = true
 		c.readKey(key, true, func(res ReadResult) {
-			if !shard.owned || shard.token != token {
+			if !shard.ownedWith(token) {
 				return
 			}
 			if res.Outcome != OutcomeOK {
@@ -372,7 +372,7 @@
 				return
 			}
 			c.applyReread(shard, key, res)
-			if !shard.owned || shard.token != token {
+			if !shard.ownedWith(token) {
 				return
 			}
 			delete(shard.unknownKeys, key)
@@ -389,7 +389,7 @@
 func (c *Core) applyReread(shard *Shard, key string, res ReadResult) {
 	switch k := records.ParseKey(key); k.Kind {
 	case records.KindShard:
-		if !res.Found || res.Item.Revision != shard.token {
+		if !res.Found || res.Item.Revision != shard.claim.Token() {
 			c.loseShard(shard, "claim has changed")
 			c.rereadShard(shard)
 		}
@@ -443,12 +443,12 @@
 			shard.dirty[id] = assignment
 		}
 	}
-	if len(shard.dirty)+len(shard.completions) == 0 || shard.txnPending || shard.claiming || shard.handingOver || c.now < shard.retryAt || len(shard.unknownKeys) > 0 {
+	if len(shard.dirty)+len(shard.completions) == 0 || shard.txnPending || shard.claim.Pending() || shard.claim.HandingOver() || c.now < shard.retryAt || len(shard.unknownKeys) > 0 {
 		return
 	}
 	txn := &pendingTxn{shard: shard, assignments: map[string]*Assignment{}, exits: map[*Assignment]map[int]taskExit{},
 		quotas: map[*TeamQuota]records.Grants{}}
-	txn.txn.Conditions = []Condition{{shard.key(), shard.revision}}
+	txn.txn.Conditions = []Condition{shard.ownerCondition()}
 	size := c.appendCompletions(shard, txn)
 	for _, id := range shard.dirtyOrder() {
 		assignment := shard.dirty[id]
@@ -595,10 +595,10 @@
 		return
 	}
 	assignment.completing, assignment.nextCompletionCheckAt = true, c.now+5*time.Second
-	token, id := shard.token, assignment.job.id
+	token, id := shard.claim.Token(), assignment.job.id
 	c.readKey(assignment.job.key(), true, func(jobResult ReadResult) {
 		assignment.completing = false
-		if jobResult.Outcome != OutcomeOK || !jobResult.Found || !shard.owned || shard.token != token || shard.assignments[id] != assignment {
+		if jobResult.Outcome != OutcomeOK || !jobResult.Found || !shard.ownedWith(token) || shard.assignments[id] != assignment {
 			return
 		}
 		c.applyJobRecord(id, jobResult.Item.Value, jobResult.Item.Revision)
@@ -621,7 +621,7 @@
 				} else {
 					f.others = append(f.others, Condition{key, r.Item.Revision})
 				}
-				if left > 0 || !all || !shard.owned || shard.token != token || shard.assignments[id] != assignment {
+				if left > 0 || !all || !shard.ownedWith(token) || shard.assignments[id] != assignment {
 					return
 				}
 				assignment.completing = true // until it is written
--- a/internal/core/status.go
+++ b/internal/core/status.go
@@ -108,8 +108,8 @@
 	s.Degraded = c.degradedModes()
 	waiting, running := map[int]int{}, map[int]int{}
 	for _, shard := range c.shards {
-		ps := ShardStatus{Zone: shard.name, Owner: shard.owner, Token: shard.revision, OwnedHere: shard.owned, Loaded: shard.loaded}
-		if !shard.owned && shard.view != nil {
+		ps := ShardStatus{Zone: shard.name, Owner: shard.claim.Owner(), Token: shard.claim.Revision(), OwnedHere: shard.claim.Owned(), Loaded: shard.loaded}
+		if !shard.claim.Owned() && shard.view != nil {
 			for _, h := range shard.view.Hosts {
 				state := "up"
 				if h.ReadyInSeconds > 0 {
@@ -216,10 +216,10 @@
 		add("workers not heard; a part was handed over", seconds(c.now-(c.isolatedUntil-isolatedFor)))
 	}
 	for _, shard := range c.shards {
-		if shard.recordKnown && shard.owner == "" {
-			add("part "+shard.name+" has no owner", seconds(c.now-shard.freeSince))
+		if shard.claim.Known() && shard.claim.Owner() == "" {
+			add("part "+shard.name+" has no owner", seconds(c.now-shard.claim.FreeSince()))
 		}
-		if shard.owned && !c.knowsCancellations(shard) {
+		if shard.claim.Owned() && !c.knowsCancellations(shard) {
 			add("not answering workers of part "+shard.name+": its slices are not read", seconds(c.now-shard.unloadedSince))
 		}
 	}
--- a/internal/core/timing.go
+++ b/internal/core/timing.go
@@ -1,20 +1,14 @@
 package core
 
-import "time"
+import (
+	"roadcleat/internal/leadership"
+	"time"
+)
 
 // What follows from the workers' times. A deployment may have its workers report every
 // 3 s with a lease of 14 s, or every 8 s with one of 38 s, and cancellations may end long
 // after a lease or soon after one.
 
-// AnswerWindow is how long a controller may go on answering workers after its view of the
-// withdrawals has ended. A withdrawal may have been accepted elsewhere right after that;
-// once this controller falls silent, its workers' leases end within lease, and that must
-// be over cancel after the withdrawal, with room for drifting clocks and for the time a
-// report was under way. At 0 or less no worker can be answered at all.
-func AnswerWindow(lease, cancel time.Duration) time.Duration {
-	return cancel - lease - 2*time.Second - cancel/100
-}
-
 // leaseTTLShare is the part of a worker's lease that a controller's may last at most.
 // When a controller stands still or is cut off, its lease must run out, its part be
 // claimed and its workers find the new owner before theirs have run out too; they
@@ -46,43 +40,7 @@
 	k = k.Effective(report, lease)
 	grace := k.TakeoverDelay
 	if !homeHeard {
-		grace = min(grace, noHomeDelay)
+		grace = min(grace, leadership.NoHomeDelay)
 	}
 	return report*5/4 + max(5500*time.Millisecond, k.LeaseTTL+grace+time.Second)
 }
-
-// isolationTimeout is for how long nothing is heard of any worker of a part before its owner
-// takes itself to be cut off from them: each should have reported by then.
-func (c *Core) isolationTimeout() time.Duration {
-	return max(8*time.Second, c.cfg.HeartbeatInterval*5/4+time.Second)
-}
-
-// startWindow is for how long work may be started after the view of the withdrawals has
-// ended. What is started last, on a machine whose session has only begun, has a whole
-// lease before it, so the bound of the answers holds as well.
-func (c *Core) startWindow() time.Duration {
-	return min(6*time.Second, AnswerWindow(c.cfg.WorkerLease, c.cfg.CancelWithin))
-}
-
-// watchTimeout is how long the state service may hold its answer back when nothing changes,
-// and pauseFor for how long news of jobs, which are told directly as well, may gather
-// before it is asked again. An open call proves nothing, and workers can only be answered
-// while the view of the jobs is young enough.
-func (c *Core) watchTimeout(watch *watchState) time.Duration {
-	const most = 2 * time.Second
-	if watch != &c.jobWatch {
-		return most
-	}
-	return c.fractionOfAnswerWindow(4, most)
-}
-
-func (c *Core) watchPause(watch *watchState) time.Duration {
-	if watch != &c.jobWatch {
-		return 250 * time.Millisecond
-	}
-	return c.fractionOfAnswerWindow(8, time.Second)
-}
-
-func (c *Core) fractionOfAnswerWindow(n int, most time.Duration) time.Duration {
-	return max(min(most, AnswerWindow(c.cfg.WorkerLease, c.cfg.CancelWithin)/time.Duration(n)), 100*time.Millisecond)
-}
--- /dev/null
+++ b/internal/leadership/freshness_test.go
@@ -0,0 +1,84 @@
+package leadership
+
+import (
+	"testing"
+	"time"
+
+	"github.com/stretchr/testify/assert"
+)
+
+const cancelWithin = 44 * time.Second
+
+// at is a moment in seconds.
+func at(seconds int) time.Duration { return time.Duration(seconds) * time.Second }
+
+// viewUntil is a view that began at 1 s and ended at the moment given.
+func viewUntil(seconds int) View {
+	var v View
+	v.Begin(at(1))
+	v.Extend(at(seconds))
+	return v
+}
+
+func TestNothingIsKnownBeforeTheViewStarts(t *testing.T) {
+	_, ok := NewConfirmations(0).KnownUntil(View{}, at(5))
+	assert.False(t, ok)
+}
+
+func TestAllOtherControllersTogetherConfirmWhatTheViewMisses(t *testing.T) {
+	c := NewConfirmations(2)
+	view := viewUntil(10)
+	c.NewEpoch(0, at(2))
+	c.NewEpoch(1, at(2))
+	c.Sent(100, at(18))
+	c.Received(0, 100, view, at(19), cancelWithin)
+	until, ok := c.KnownUntil(view, at(20))
+	assert.True(t, ok)
+	assert.Equal(t, at(10), until, "the other one confirms nothing yet")
+	c.Received(1, 100, view, at(19), cancelWithin)
+	until, _ = c.KnownUntil(view, at(20))
+	assert.Equal(t, at(18), until, "up to when the message was sent that both have received")
+}
+
+func TestAProcessStartedAfterTheViewEndedConfirmsNothing(t *testing.T) {
+	c := NewConfirmations(1)
+	view := viewUntil(10)
+	c.NewEpoch(0, at(12))
+	c.Sent(100, at(18))
+	c.Received(0, 100, view, at(19), cancelWithin)
+	until, _ := c.KnownUntil(view, at(20))
+	assert.Equal(t, at(10), until)
+}
+
+func TestAMessageAfterALongGapConfirmsNothing(t *testing.T) {
+	c := NewConfirmations(1)
+	view := viewUntil(10)
+	c.NewEpoch(0, at(2))
+	c.Sent(100, at(53))
+	c.Received(0, 100, view, at(54), cancelWithin)
+	until, _ := c.KnownUntil(view, at(55))
+	assert.Equal(t, at(10), until, "the peer may have stopped repeating cancellations meanwhile")
+	assert.Equal(t, uint64(100), c.ReceivedBy(0))
+}
+
+func TestAMessageThatIsNotRememberedConfirmsNothing(t *testing.T) {
+	c := NewConfirmations(1)
+	view := viewUntil(10)
+	c.NewEpoch(0, at(2))
+	for n := range uint64(gossipRemembered + 1) {
+		c.Sent(1000+n, at(11))
+	}
+	c.Received(0, 1000, view, at(12), cancelWithin)
+	until, _ := c.KnownUntil(view, at(12))
+	assert.Equal(t, at(10), until)
+}
+
+func TestWorkersLeasesEndBeforeACancellationThatWasMissedIsDue(t *testing.T) {
+	for _, lease := range []time.Duration{at(14), at(36)} {
+		window := AnswerWindow(lease, cancelWithin)
+		assert.LessOrEqual(t, window+lease, cancelWithin-2*time.Second)
+		assert.LessOrEqual(t, StartWindow(lease, cancelWithin), window)
+	}
+	assert.Equal(t, longestStartWindow, StartWindow(at(14), cancelWithin))
+	assert.Negative(t, AnswerWindow(cancelWithin, cancelWithin), "no worker can be answered at all")
+}
