--- a/internal/core/peers.go
+++ b/internal/core/peers.go
@@ -127,7 +127,7 @@
 	c.nextGossipAt = c.now + 500*time.Millisecond
 	c.gossipSeq++
 	c.confirmations.Sent(c.gossipSeq, c.now)
-	g := &Gossip{Seq: c.gossipSeq, Received: map[string]uint64{}, StoreOK: c.storeReachable(), ValueFormat: int(records.FormatGrouped), CallRate: c.callRate, WorkersHeard: map[string]int{}, Isolated: c.now < c.isolatedUntil}
+	g := &Gossip{Seq: c.gossipSeq, Received: map[string]uint64{}, StoreOK: c.storeReachable(), ValueFormat: int(records.FormatGrouped), CallRate: c.budget.rate, WorkersHeard: map[string]int{}, Isolated: c.now < c.isolatedUntil}
 	for zone, hosts := range c.foreignHeartbeats {
 		for name, at := range hosts {
 			if c.now > at+6*time.Second {
@@ -148,7 +148,7 @@
 			g.Shards = append(g.Shards, v)
 		}
 	}
-	c.recentCancellations = slices.DeleteFunc(c.recentCancellations, func(w cancellationNotice) bool { return c.now > w.at+c.cfg.CancelWithin+10*time.Second })
+	c.dropOldCancellations()
 	for i, peer := range c.peers {
 		own := *g
 		own.Cancellations = c.cancellationsFor(peer)
@@ -156,26 +156,6 @@
 	}
 }
 
-// cancellationsFor lists the withdrawals that another controller may have to hear of from
-// here because it does not reach the state service. Each is in all gossip to it
-// until it has heard one of those.
-func (c *Core) cancellationsFor(peer *Peer) []Item {
-	var out []Item
-	for _, w := range c.recentCancellations {
-		if c.confirmations.ReceivedBy(peer.index) < w.firstGossip {
-			out = append(out, w.item)
-		}
-	}
-	return out
-}
-
-// cancellationNotice is a withdrawal, when it became known here and the first gossip it is in.
-type cancellationNotice struct {
-	at          time.Duration
-	firstGossip uint64
-	item        Item
-}
-
 func (c *Core) shardView(shard *Shard) ShardView {
 	v := ShardView{Zone: shard.name, Token: shard.claim.Token(), TeamUsage: map[string]model.Resources{}, NoHeartbeats: c.noHeartbeats(shard)}
 	v.Hosts, v.Images = c.hostGroups(shard)
--- /dev/null
+++ b/internal/core/transactions.go
@@ -0,0 +1,262 @@
+package core
+
+import (
+	"roadcleat/internal/model"
+	"roadcleat/internal/records"
+)
+
+// pendingTxn is a transaction of a shard's owner under way, and what memory must do once its
+// outcome is known. Every one has the shard's ownerCondition, so nothing of a former owner is
+// applied after a new claim.
+type pendingTxn struct {
+	shard            *Shard
+	token            uint64 // with which it was sent
+	txn              Txn
+	assignments      map[string]*Assignment // recorded by it
+	exits            map[*Assignment]map[int]taskExit
+	placements       []*Task
+	quotas           map[*TeamQuota]records.Grants
+	doneJobs         []*Job
+	jobChanges       []Item
+	droppedJobs      []string // whose assignment it deletes
+	movedAssignments []Item   // of other shards, changed by a move
+	onRollBack       func()   // takes back what memory shows already
+}
+
+func newPendingTxn(shard *Shard) *pendingTxn {
+	return &pendingTxn{
+		shard:       shard,
+		txn:         Txn{Conditions: []Condition{shard.ownerCondition()}},
+		assignments: map[string]*Assignment{},
+		exits:       map[*Assignment]map[int]taskExit{},
+		quotas:      map[*TeamQuota]records.Grants{},
+	}
+}
+
+func (p *pendingTxn) addCondition(key string, revision uint64) {
+	p.txn.Conditions = append(p.txn.Conditions, Condition{key, revision})
+}
+
+func (p *pendingTxn) put(key string, value []byte) {
+	p.txn.Mutations = append(p.txn.Mutations, Mutation{Key: key, Value: value})
+}
+
+func (p *pendingTxn) delete(key string) {
+	p.txn.Mutations = append(p.txn.Mutations, Mutation{Key: key})
+}
+
+// sendTxn sends an owner's transaction; a shard has one under way at a time.
+func (c *Core) sendTxn(pending *pendingTxn) {
+	shard := pending.shard
+	pending.token = shard.claim.Token()
+	shard.txnPending = true
+	c.commitWith(CommitTxn{Txn: pending.txn, Urgent: true, Background: true}, func(res CommitResult) {
+		if shard.ownedWith(pending.token) {
+			c.onTxnResult(pending, res)
+		}
+	})
+}
+
+func (c *Core) onTxnResult(pending *pendingTxn, res CommitResult) {
+	shard := pending.shard
+	switch res.Outcome {
+	case OutcomeOK:
+		shard.txnPending = false
+		c.applyCommitted(pending, res.Revision)
+	case OutcomeRefused:
+		c.stats.Conflicts++
+		c.debug("transaction refused", "shard", shard.name, "token", shard.claim.Token(), "keys", res.FailedKeys)
+		c.rollBack(pending)
+		for _, key := range res.FailedKeys {
+			shard.unknownKeys[key] = false
+		}
+		if len(res.FailedKeys) == 0 {
+			shard.txnPending = false
+			shard.retryAt = c.now + retryStoreCall
+		}
+	case OutcomeNotSent:
+		c.rollBack(pending)
+		shard.txnPending = false
+		shard.retryAt = c.now + retryStoreCall
+	default:
+		if pending.onRollBack != nil {
+			// Tasks that may not have been moved must not be missing here: the assignment
+			// would look complete.
+			pending.onRollBack()
+		}
+		// Nobody can tell: what holds is read again before anything else is committed. The
+		// placements stay booked until then and are not launched.
+		for _, condition := range pending.txn.Conditions {
+			shard.unknownKeys[condition.Key] = false
+		}
+		c.markDirtyAgain(pending)
+	}
+	c.resolveUnknownKeys(shard)
+}
+
+// applyCommitted makes memory show a transaction that was carried out.
+func (c *Core) applyCommitted(pending *pendingTxn, revision uint64) {
+	shard := pending.shard
+	c.applyCommittedQuotas(pending, revision)
+	for id, assignment := range pending.assignments {
+		assignment.revision = max(assignment.revision, revision)
+		for i, exit := range pending.exits[assignment] {
+			if assignment.unrecordedExits[i] == exit {
+				delete(assignment.unrecordedExits, i)
+			}
+		}
+		if assignment.complete() && len(assignment.unrecordedExits) == 0 && assignment.job.state == model.JobPending {
+			shard.dirty[id] = assignment
+		}
+	}
+	for _, task := range pending.placements {
+		if task.phase == taskPlacing {
+			c.onPlaced(shard, task)
+		}
+	}
+	for _, job := range pending.doneJobs {
+		c.info("job done", "job", job.id, "shard", shard.name, "token", shard.claim.Token())
+		c.finishJob(job.id, model.JobDone)
+	}
+	for _, id := range pending.droppedJobs {
+		delete(shard.assignments, id)
+		delete(shard.dirty, id)
+	}
+	c.announceChanges(pending, revision)
+	shard.needsPlan = true
+}
+
+func (c *Core) applyCommittedQuotas(pending *pendingTxn, revision uint64) {
+	var changed []Item
+	for _, quota := range c.quotas {
+		grants, ok := pending.quotas[quota]
+		if !ok {
+			continue
+		}
+		if revision > quota.revision {
+			quota.revision, quota.grants = revision, grants
+		}
+		changed = append(changed, Item{quota.key(), grants.Encode(), revision})
+	}
+	if len(changed) > 0 {
+		c.broadcast(Message{Quotas: changed})
+	}
+}
+
+// announceChanges tells the others of jobs and assignments that a transaction changed.
+func (c *Core) announceChanges(pending *pendingTxn, revision uint64) {
+	for i := range pending.jobChanges {
+		change := &pending.jobChanges[i]
+		change.Revision = revision
+		c.applyJobRecord(records.ParseKey(change.Key).Job, change.Value, revision)
+	}
+	for i := range pending.movedAssignments {
+		change := &pending.movedAssignments[i]
+		change.Revision = revision
+		key := records.ParseKey(change.Key)
+		if to := c.shards[c.zoneIndex(key.Zone)]; to.servedHere() {
+			c.applyAssignmentRecord(to, key.Job, change.Value, revision)
+		}
+	}
+	if len(pending.jobChanges)+len(pending.movedAssignments) > 0 {
+		c.broadcast(Message{Jobs: pending.jobChanges, Assignments: pending.movedAssignments})
+	}
+}
+
+// rollBack undoes the placements of a transaction that was not carried out.
+func (c *Core) rollBack(pending *pendingTxn) {
+	if pending.onRollBack != nil {
+		pending.onRollBack()
+	}
+	for _, task := range pending.placements {
+		if task.phase == taskPlacing {
+			c.rollBackPlacement(pending.shard, task)
+		}
+	}
+	c.markDirtyAgain(pending)
+	pending.shard.needsPlan = true
+}
+
+// markDirtyAgain has everything that a transaction should have recorded tried again.
+func (c *Core) markDirtyAgain(pending *pendingTxn) {
+	shard := pending.shard
+	for id := range pending.assignments {
+		shard.markDirty(id)
+	}
+	for _, id := range pending.droppedJobs {
+		shard.markDirty(id)
+	}
+}
+
+// markDirty has an assignment recorded, if there is one.
+func (s *Shard) markDirty(job string) {
+	if assignment := s.assignments[job]; assignment != nil {
+		s.dirty[job] = assignment
+	}
+}
+
+// resolveUnknownKeys reads the keys again whose state is not known, since a transaction on
+// them was refused or gave no answer. The shard commits nothing until all are known; a late
+// copy of the transaction fails by its conditions once they have changed.
+func (c *Core) resolveUnknownKeys(shard *Shard) {
+	if len(shard.unknownKeys) == 0 || c.now < shard.retryAt {
+		return
+	}
+	token := shard.claim.Token()
+	for _, key := range sorted(shard.unknownKeys) {
+		if reading := shard.unknownKeys[key]; reading {
+			continue
+		}
+		shard.unknownKeys[key] = true
+		c.readKey(key, true, func(res ReadResult) {
+			if shard.ownedWith(token) {
+				c.resolveKey(shard, token, key, res)
+			}
+		})
+	}
+}
+
+func (c *Core) resolveKey(shard *Shard, token uint64, key string, res ReadResult) {
+	if res.Outcome != OutcomeOK {
+		shard.unknownKeys[key] = false
+		shard.retryAt = c.now + retryStoreCall
+		return
+	}
+	c.applyReread(shard, key, res)
+	if !shard.ownedWith(token) {
+		return
+	}
+	delete(shard.unknownKeys, key)
+	if len(shard.unknownKeys) == 0 {
+		shard.txnPending = false
+		shard.needsPlan = true
+	}
+}
+
+// applyReread applies a key that was read again because a transaction's outcome on it was
+// not known.
+func (c *Core) applyReread(shard *Shard, key string, res ReadResult) {
+	switch k := records.ParseKey(key); k.Kind {
+	case records.KindShard:
+		if !res.Found || res.Item.Revision != shard.claim.Token() {
+			c.loseShard(shard, "claim has changed")
+			c.rereadShard(shard)
+		}
+	case records.KindJob:
+		if res.Found {
+			c.applyJobRecord(k.Job, res.Item.Value, res.Item.Revision)
+		}
+	case records.KindQuota:
+		if team := c.teams.lookup(k.Team); team >= 0 {
+			c.applyQuotaRecord(c.quotas[team], res.Found, res.Item.Value, res.Item.Revision)
+		}
+	case records.KindAssignment:
+		switch {
+		case k.Zone != shard.name:
+		case !res.Found:
+			c.applyAssignmentRecord(shard, k.Job, nil, 0)
+		default:
+			c.applyAssignmentRecord(shard, k.Job, res.Item.Value, res.Item.Revision)
+		}
+	}
+}
--- a/internal/fake/many_jobs_test.go
+++ b/internal/fake/many_jobs_test.go
@@ -30,7 +30,7 @@
 			count(v.Elem(), path)
 		case reflect.Struct:
 			for i := range v.NumField() {
-				if name := v.Type().Field(i).Name; name != "final" && name != "cfg" && name != "rng" && name != "out" {
+				if name := v.Type().Field(i).Name; name != "finished" && name != "cfg" && name != "rng" && name != "effects" {
 					count(v.Field(i), path+"."+name)
 				}
 			}
