--- a/internal/core/events.go
+++ b/internal/core/events.go
@@ -56,3 +56,23 @@
 func (Heartbeat) event()       {}
 func (PeerMessage) event()     {}
 func (Overloaded) event()      {}
+
+// WithRequestID gives a request of a user or worker the id by which it is answered. Events
+// that nobody waits for are returned as they are.
+func WithRequestID(event Event, id uint64) Event {
+	switch e := event.(type) {
+	case JobSubmission:
+		e.RequestID = id
+		return e
+	case JobQuery:
+		e.RequestID = id
+		return e
+	case JobCancellation:
+		e.RequestID = id
+		return e
+	case Heartbeat:
+		e.RequestID = id
+		return e
+	}
+	return event
+}
