--- a/internal/core/gossip.go
+++ b/internal/core/gossip.go
@@ -2,74 +2,73 @@
 
 import "roadcleat/internal/model"
 
-// Message is what controllers send each other.
+// Message is what controllers send each other. Any of it may be lost, or arrive late.
 type Message struct {
-	Epoch          uint64 // which life of the sender
+	Epoch          uint64 // of the sender's process
 	Gossip         *Gossip
-	Jobs           []Item // job/ keys as just read or written
-	Assignments    []Item // slice/ keys as just written
-	ReleasedShards []string
-	GrantRequests  []GrantRequest // of teams whose grants the sender needs
-	Quotas         []Item         // quota/ keys as just written
+	Jobs           []Item         // jobs' keys as just read or written
+	Assignments    []Item         // assignments' keys as just written
+	ReleasedShards []string       // zones whose shards the receiver should claim
+	GrantRequests  []GrantRequest // for teams of which the sender needs grants
+	Quotas         []Item         // quotas' keys as just written
 }
 
-// GrantRequest asks for room within a team's limit for work that waits, and says how
-// it ranks.
+// GrantRequest asks for room within a team's limit for work that waits, and says how it
+// ranks.
 type GrantRequest struct {
 	Team  string
 	Cores float64
-	Rank  float64
+	Rank  float64 // see grantRank
 }
 
-// Gossip is what a controller tells the others twice a second.
+// Gossip is what a controller sends the others twice a second.
 type Gossip struct {
-	Seq           uint64            // counts the sender's gossip
-	Received      map[string]uint64 // the newest Seq heard of each other controller
-	Cancellations []Item            // withdrawals the sender learned of lately and the receiver may not have heard of
-	StoreOK       bool
-	ValueFormat   int         // the newest form of the store's values that the sender reads
-	CallRate      BudgetShare // what it asked of the state service lately, a second
-	Shards        []ShardView
-	WorkersHeard  map[string]int // workers of parts not its own heard lately
-	Isolated      bool           // it gave a part up because it did not hear its workers
+	Seq           uint64            // counts the sender's gossip; no number comes again
+	Received      map[string]uint64 // the newest Seq received, by controller
+	Cancellations []Item            // that the sender learned of lately and the receiver may not know
+	StoreOK       bool              // the sender reaches the state service
+	ValueFormat   int               // the newest format of records that the sender reads
+	CallRate      BudgetShare       // calls to the state service of late, a second
+	Shards        []ShardView       // that the sender owns
+	WorkersHeard  map[string]int    // workers of others' shards heard lately, by zone
+	Isolated      bool              // the sender gave up a shard because it heard none of its workers
 }
 
-// ShardView is a summary of a part by its owner.
+// ShardView is a summary of a shard by its owner.
 type ShardView struct {
 	Zone         string
 	Token        uint64
-	NoHeartbeats bool // its owner hears none of its workers
+	NoHeartbeats bool // the owner hears none of its workers
 	Hosts        []HostGroup
 	Backlog      []Backlog
 	Images       []ImageShare
-	Exhausted    []MachineKind // machines that were refused lately
+	Exhausted    []MachineKind // of which the cloud refused machines lately
 	Jobs         []JobCounts
 	TeamUsage    map[string]model.Resources
 	BackfillRoom map[string]float64 // cores that backfill may take, by type
 	Queues       []Queue            // what does not run yet, by class and team
 }
 
-// MachineKind names a kind of machine.
+// MachineKind names a kind of machine that can be rented.
 type MachineKind struct {
 	Type string
 	Spot bool
 }
 
-// HostGroup is machines that look alike to another controller: of one type and
-// kind, with as much in use for about as long. Hundreds of machines make a few
-// dozen groups.
+// HostGroup is machines that look alike to another controller: of one kind, with as much in
+// use for about as long. Hundreds of machines make a few dozen groups.
 type HostGroup struct {
 	Type            string
 	Spot            bool
 	Count           int
-	ReadyInSeconds  float64         // seconds until they can take work
+	ReadyInSeconds  float64         // until they can take work
 	Used            model.Resources // of each
-	BusySeconds     float64         // seconds until that is free again
-	FetchingSeconds float64         // seconds until fetches queued are through
+	BusySeconds     float64         // until that is free again
+	FetchingSeconds float64         // until the queued fetches are through
 }
 
-// Backlog is how long work of a priority that waits for a type of machine keeps
-// all those of the part busy.
+// Backlog is for how long work of a priority that waits for a type of machine keeps all those
+// of the shard busy.
 type Backlog struct {
 	Type     string
 	Priority int
@@ -82,8 +81,8 @@
 	Share       float64
 }
 
-// JobCounts holds a job's counts for display. Of services with replicas missing, which
-// are few, it also says what has become of those and why.
+// JobCounts are the counts of an assignment's tasks, for display. Of services with replicas
+// missing, which are few, it also says what has become of those and why.
 type JobCounts struct {
 	ID                          string
 	Done, Running               int
@@ -92,6 +91,6 @@
 	Reason                      Reason
 }
 
-func (s *JobCounts) counts() TaskCounts {
-	return TaskCounts{s.Running, s.Starting, s.Fetching, s.Waiting}
+func (j *JobCounts) counts() TaskCounts {
+	return TaskCounts{Running: j.Running, Starting: j.Starting, Fetching: j.Fetching, Waiting: j.Waiting}
 }
--- a/internal/core/order.go
+++ b/internal/core/order.go
@@ -7,8 +7,8 @@
 	"slices"
 )
 
-// sorted lists a map's keys in order: what the core does must depend on its
-// events alone, so that any run can be played again.
+// sorted lists a map's keys in order: what the core does must depend on its events alone, so
+// that any run can be replayed.
 func sorted[K cmp.Ordered, V any](m map[K]V) []K { return slices.Sorted(maps.Keys(m)) }
 
 func sortedTasks[V any](m map[model.TaskID]V) []model.TaskID {
@@ -17,8 +17,8 @@
 	})
 }
 
-// hostList lists a part's machines by name. The list is kept in order as
-// machines come and go: it is gone through far more often than it changes.
+// hostList lists a shard's machines by name. The list is kept in order as machines come and go:
+// it is read far more often than it changes.
 func (s *Shard) hostList() []*Host { return s.hostsByName }
 
 func (s *Shard) addHost(host *Host) {
--- a/internal/leadership/doc.go
+++ b/internal/leadership/doc.go
@@ -6,7 +6,7 @@
 // Its invariants, and the rules of PROTOCOL that rest on them:
 //
 //   - A shard has one owner at a time. The claim hangs on the owner's lease, so it vanishes
-//     with it; its revision is the fencing token ("Baton"), which only grows and which workers
+//     with it; its revision is the fencing token, which only grows and which workers
 //     compare (rule ran_twice). A Claim that learns of a newer revision is outdated at once.
 //   - Nothing of a former term of ownership takes effect in a later one: a Claim's term is the
 //     first token of an unbroken ownership, and every answer is compared with it.
--- a/internal/leadership/takeover.go
+++ b/internal/leadership/takeover.go
@@ -30,7 +30,7 @@
 }
 
 // ClaimDelay is how long a free shard is left to controllers with a better claim: its home
-// controller first, then whoever owns the fewest.
+// controller first, then the one that owns the fewest.
 func (c Candidacy) ClaimDelay() time.Duration {
 	if c.Home && !c.Isolated || c.Offered {
 		return 0
--- a/internal/metrics/metrics.go
+++ b/internal/metrics/metrics.go
@@ -1,4 +1,6 @@
-// Package metrics counts what operators want to see of a controller.
+// Package metrics counts what operators want to see of a controller. The names of metrics and
+// labels are part of its interface: graphs and alerts use them (recorded in
+// testdata/page-b103dfb.txt).
 package metrics
 
 import (
@@ -105,7 +107,7 @@
 	return promhttp.HandlerFor(prometheus.Gatherers{s.registry, reg}, promhttp.HandlerOpts{DisableCompression: true})
 }
 
-// queues gives what waits, and the replicas of services, in the parts owned by this
+// queues gives what waits, and the replicas of services, in the shards owned by this
 // controller: sums over controllers count each task once.
 func queues(g core.Gauges) []prometheus.Collector {
 	gauge := func(name, help string, labels ...string) *prometheus.GaugeVec {
--- a/internal/runtime/runtime_test.go
+++ b/internal/runtime/runtime_test.go
@@ -20,6 +20,7 @@
 	"roadcleat/internal/state"
 )
 
+// newRuntime is a runtime whose state service and cloud refuse all connections.
 func newRuntime(workerCalls int) *Runtime {
 	const nobody = "127.0.0.1:1"
 	return New(core.New(core.Config{Label: "n0", Zone: "a", Zones: []string{"a"}}), state.New(nobody, 100, 50, 12, 1),
@@ -27,9 +28,9 @@
 		slog.New(slog.NewTextHandler(io.Discard, nil)))
 }
 
-func TestWhatNobodyWaitsForAnyMoreIsNotCarriedOut(t *testing.T) {
-	// A report that had waited too long counted as answered, so that its worker's
-	// next session looked like the mark of a machine that hears nothing.
+func TestARequestWhoseSenderHasGivenUpIsNotCarriedOut(t *testing.T) {
+	// Counted as answered, a heartbeat that had waited too long would make its worker's next
+	// incarnation look like that of an unreachable machine.
 	r := newRuntime(4)
 	ctx, cancel := context.WithCancel(context.Background())
 	cancel()
@@ -43,9 +44,8 @@
 	assert.Len(t, heartbeat.reply, 1)
 }
 
-func TestCallsThatDoNotComeBackDoNotKeepTheLeaseWaiting(t *testing.T) {
-	// Hundreds of machines behind a cut took all slots, the lease was not renewed
-	// and the part lost.
+func TestCallsThatHangDoNotDelayTheLease(t *testing.T) {
+	// Hundreds of machines behind a cut take all slots; the lease must be renewed all the same.
 	r := newRuntime(1)
 	r.workerCallSlots <- struct{}{} // a call that hangs
 	for range cap(r.callSlots) {
@@ -88,8 +88,7 @@
 }
 
 func TestEveryWorkerOfALargeFleetMayReportAtOnce(t *testing.T) {
-	// The queue held 1,024 commands: after a standstill the reports of the others were
-	// refused.
+	// With a queue of 1,024 commands, most heartbeats after a clock jump would be refused.
 	const workers = 6000
 	r := New(core.New(core.Config{Label: "n0", Zone: "a", Zones: []string{"a"}}), state.New("127.0.0.1:1", 100, 50, 12, 1),
 		cloud.New("127.0.0.1:1", 5, 1), agent.New(4), Bounds{WorkerCalls: 4, Requests: workers}, nil, metrics.New(),
@@ -111,7 +110,7 @@
 	}
 }
 
-func TestRequestsThatAreTurnedAwayAreToldToTheCore(t *testing.T) {
+func TestTheCoreLearnsOfRejectedRequests(t *testing.T) {
 	r := newRuntime(4)
 	for range cap(r.queue) {
 		r.queue <- command{inspect: func(*core.Core) {}, reply: make(chan core.Effect)}
