--- a/internal/fake/fleet_test.go
+++ b/internal/fake/fleet_test.go
@@ -2,30 +2,41 @@
 
 import (
 	"fmt"
-	"roadcleat/internal/model"
 	"runtime"
 	"testing"
 	"time"
 
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
+
+	"roadcleat/internal/model"
 )
 
-// fleet is a world in which so many machines run long tasks, four each, in three zones
-// with a controller each.
+// fleet returns a world in which the given number of machines run long tasks, four each, in
+// three zones with a controller each.
 func fleet(tb testing.TB, machines int) *World {
+	tb.Helper()
 	cfg := Settings()
-	cfg.HeartbeatInterval, cfg.WorkerLease, cfg.CancelWithin, cfg.ListLag = 6*time.Second, 36*time.Second, 66*time.Second, 6*time.Second
+	cfg.HeartbeatInterval, cfg.WorkerLease = 6*time.Second, 36*time.Second
+	cfg.CancelWithin, cfg.ListLag = 66*time.Second, 6*time.Second
 	for i := range cfg.Teams {
 		cfg.Teams[i].Guarantee, cfg.Teams[i].Limit = model.Resources{Cores: 1e6}, model.Resources{}
 	}
 	w := New(3, cfg)
-	w.Cloud.Types = []model.MachineType{{Name: "large", Capacity: model.Resources{Cores: 16, MemoryGB: 64}, CacheGB: 50, FetchGBPerSecond: 1,
-		Price: 1, SpotPrice: 0.4, BootSeconds: 20, Zones: cfg.Zones}}
+	w.Cloud.Types = []model.MachineType{{
+		Name:             "large",
+		Capacity:         model.Resources{Cores: 16, MemoryGB: 64},
+		CacheGB:          50,
+		FetchGBPerSecond: 1,
+		Price:            1,
+		SpotPrice:        0.4,
+		BootSeconds:      20,
+		Zones:            cfg.Zones,
+	}}
 	w.Cloud.BootS = func(string) float64 { return 20 }
 	w.Cloud.Room = map[string]int{}
-	for _, z := range cfg.Zones {
-		w.Cloud.Room[roomKey("large", z, true)] = machines
+	for _, zone := range cfg.Zones {
+		w.Cloud.Room[roomKey("large", zone, true)] = machines
 	}
 	w.Run(3 * time.Second)
 	tasks, jobs := 4*machines, machines/100
@@ -34,39 +45,41 @@
 		s.EstimateSeconds, s.Image = 3600, fmt.Sprintf("img-%d", i%20)
 		w.Submit(s, time.Hour)
 	}
-	up := func() bool { return w.Referee.Starts >= tasks }
-	require.True(tb, w.Until(5*time.Minute, up), "all tasks run, %d of %d", w.Referee.Starts, tasks)
+	allStarted := func() bool { return w.Referee.Starts >= tasks }
+	require.True(tb, w.Until(5*time.Minute, allStarted), "%d of %d tasks run", w.Referee.Starts, tasks)
 	w.Run(10 * time.Second)
 	return w
 }
 
-// fleetSizes are numbers of machines. Each figure should grow about as they do.
+// fleetSizes are the numbers of machines of the fleet benchmarks. Each figure should grow
+// about in proportion to them.
 var fleetSizes = []int{1000, 2000, 4000, 6000}
 
-// BenchmarkFleetSecond plays a second in which machines report and owners gossip, list
-// and plan, and gives the memory held per machine by all of it, the emulator included.
+// BenchmarkFleetSecond plays a second in which machines send heartbeats and owners gossip,
+// list and plan. It also reports the memory per machine of the whole process, which
+// includes the emulator.
 func BenchmarkFleetSecond(b *testing.B) {
-	for _, n := range fleetSizes {
-		b.Run(fmt.Sprint(n), func(b *testing.B) {
-			w := fleet(b, n)
-			var m runtime.MemStats
+	for _, machines := range fleetSizes {
+		b.Run(fmt.Sprint(machines), func(b *testing.B) {
+			w := fleet(b, machines)
+			var stats runtime.MemStats
 			runtime.GC()
-			runtime.ReadMemStats(&m)
+			runtime.ReadMemStats(&stats)
 			b.ReportAllocs()
 			b.ResetTimer()
 			for range b.N {
 				w.Run(time.Second)
 			}
-			b.ReportMetric(float64(m.HeapAlloc)/float64(n), "B/machine")
+			b.ReportMetric(float64(stats.HeapAlloc)/float64(machines), "B/machine")
 		})
 	}
 }
 
 // BenchmarkFleetRestart plays the 10 s after all controllers have ended.
 func BenchmarkFleetRestart(b *testing.B) {
-	for _, n := range fleetSizes {
-		b.Run(fmt.Sprint(n), func(b *testing.B) {
-			w := fleet(b, n)
+	for _, machines := range fleetSizes {
+		b.Run(fmt.Sprint(machines), func(b *testing.B) {
+			w := fleet(b, machines)
 			b.ReportAllocs()
 			b.ResetTimer()
 			for range b.N {
@@ -82,22 +95,22 @@
 func TestFourThousandMachinesSurviveARestartOfAllControllers(t *testing.T) {
 	machines := 4000
 	if raceEnabled {
-		machines = 400 // the race detector takes ten times as long; the number itself is tested without it
+		machines = 400 // the race detector takes ten times as long; the full number is tested without it
 	}
 	w := fleet(t, machines)
-	t.Cleanup(func() { assert.Empty(t, w.Referee.Broken, "rules") })
+	t.Cleanup(func() { assert.Empty(t, w.Referee.Broken, "broken rules") })
 	starts, alive := w.Referee.Starts, len(w.Alive())
 	require.GreaterOrEqual(t, alive, machines)
-	for _, n := range w.Nodes {
-		n.Restart(2 * time.Second)
+	for _, node := range w.Nodes {
+		node.Restart(2 * time.Second)
 	}
 	w.Run(20 * time.Second)
 	for _, zone := range w.Cfg.Zones {
 		require.NotNil(t, w.OwnerOf(zone), "zone %s has an owner", zone)
 	}
 	w.Run(w.Cfg.WorkerLease + 10*time.Second)
-	assert.Equal(t, starts, w.Referee.Starts, "nothing was lost and started again")
-	assert.GreaterOrEqual(t, len(w.Alive()), alive-machines/100, "no machine that works was given back")
+	assert.Equal(t, starts, w.Referee.Starts, "no task was lost and started again")
+	assert.GreaterOrEqual(t, len(w.Alive()), alive-machines/100, "no working machine was returned")
 	job := w.Submit(spec("job-new", "blue", 40, 2), 10*time.Second)
 	ends(t, w, job, 2*time.Minute)
 }
--- /dev/null
+++ b/internal/fake/large_deployment_test.go
@@ -0,0 +1,106 @@
+package fake
+
+import (
+	"fmt"
+	"testing"
+	"time"
+
+	"github.com/stretchr/testify/assert"
+	"github.com/stretchr/testify/require"
+
+	"roadcleat/internal/model"
+)
+
+// BenchmarkGrownDay plays the first seconds of deployments of up to some 2,100 machines
+// with thousands of waiting tasks, with three controllers and with one that owns
+// everything. Most of its time is spent in the cores.
+func BenchmarkGrownDay(b *testing.B) {
+	for _, size := range []struct {
+		name        string
+		machines    int // in all zones
+		initialJobs int
+		zones       int
+	}{{"1420/three", 1420, 30, 3}, {"2130/three", 2130, 45, 3}, {"2130/one", 2130, 45, 1}} {
+		b.Run(size.name, func(b *testing.B) {
+			for range b.N {
+				w := grown(size.zones, size.machines)
+				w.Run(3 * time.Second)
+				n := 0
+				var submitEverySecond func()
+				submitEverySecond = func() {
+					n++
+					w.Submit(grownJob(w, n), 25*time.Second)
+					w.After(time.Second, submitEverySecond)
+				}
+				for range size.initialJobs {
+					submitEverySecond()
+				}
+				w.Run(20 * time.Second)
+				b.ReportMetric(float64(w.Referee.Starts), "starts")
+			}
+		})
+	}
+}
+
+// grownJob returns the nth submission of BenchmarkGrownDay: of one of thirty images, and
+// every twentieth is a large array.
+func grownJob(w *World, n int) model.JobSpec {
+	teams := []string{"red", "blue"}
+	s := spec(fmt.Sprintf("job-%d", n), teams[n%2], 10+w.Rng.IntN(30), float64(2+2*(n%2)))
+	s.Image, s.ImageGB = fmt.Sprintf("img-%d", w.Rng.IntN(30)), 1
+	s.EstimateSeconds = 25
+	if n%20 == 0 {
+		s.Tasks, s.Priority = 200, 2
+	}
+	return s
+}
+
+// grown returns a world with room for the given number of machines, of two types, as
+// on-demand and as spot ones.
+func grown(zones, machines int) *World {
+	cfg := Settings()
+	cfg.Zones = cfg.Zones[:zones]
+	cfg.HeartbeatInterval, cfg.WorkerLease = 6*time.Second, 36*time.Second
+	cfg.CancelWithin, cfg.ListLag = 66*time.Second, 6*time.Second
+	cfg.Teams[0].Limit, cfg.Teams[0].Guarantee = model.Resources{Cores: 10000}, model.Resources{Cores: 3000}
+	cfg.Teams[1].Limit, cfg.Teams[1].Guarantee = model.Resources{Cores: 6000}, model.Resources{Cores: 2000}
+	w := New(1, cfg)
+	for kind := range w.Cloud.Room {
+		w.Cloud.Room[kind] = machines / len(w.Cloud.Room)
+	}
+	return w
+}
+
+func TestALargeFleetKeepsTheRulesWhenAllRestartWhileAZoneIsCutOff(t *testing.T) {
+	w := grown(3, 480)
+	t.Cleanup(func() { assert.Empty(t, w.Referee.Broken, "broken rules") })
+	w.Run(3 * time.Second)
+	teams := []string{"red", "blue"}
+	var jobs []*Job
+	for i := range 24 {
+		s := spec(fmt.Sprintf("job-%d", i), teams[i%2], 60, 4)
+		s.EstimateSeconds = 25
+		jobs = append(jobs, w.Submit(s, time.Duration(15+i)*time.Second))
+	}
+	require.True(t, w.Until(40*time.Second, func() bool { return w.Referee.Starts > 600 }))
+	// The first controller's zone is partitioned; its packets are held and arrive together
+	// when the partition ends.
+	for _, node := range w.Nodes[1:] {
+		for _, name := range workersOf(w, "a") {
+			w.Cut(node.Name, name, 25*time.Second, true)
+		}
+		w.Cut("node-0", node.Name, 25*time.Second, true)
+	}
+	w.Cut("node-0", "state", 25*time.Second, true)
+	w.Run(2 * time.Second)
+	for i, node := range w.Nodes {
+		node.Restart(time.Duration(50+400*i) * time.Millisecond)
+	}
+	w.Run(20 * time.Second)
+	w.Nodes[1].Freeze(w.Cfg.WorkerLease + 5*time.Second)
+	w.Run(2 * time.Second)
+	w.Nodes[2].Restart(80 * time.Millisecond) // one controller owns all shards meanwhile
+	for _, job := range jobs {
+		ends(t, w, job, 6*time.Minute)
+	}
+}
--- a/internal/fake/seeds_test.go
+++ b/internal/fake/random_days_test.go
@@ -10,9 +10,11 @@
 
 var (
 	seedCount = flag.Uint64("seeds", 60, "how many random days to play")
-	seedFirst = flag.Uint64("seed", 1, "the first of them")
+	seedFirst = flag.Uint64("seed", 1, "seed of the first random day")
 )
 
+// TestRandomDaysKeepTheRules plays random days with consecutive seeds. With a single seed
+// and -v it logs the day.
 func TestRandomDaysKeepTheRules(t *testing.T) {
 	for seed := *seedFirst; seed < *seedFirst+*seedCount; seed++ {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
@@ -21,8 +23,9 @@
 			if testing.Verbose() && *seedCount == 1 {
 				log = t.Logf
 			}
-			wrong := RandomDay(seed).Play(log).Broken
-			require.Empty(t, wrong, "replay with: go test ./internal/fake -run TestRandomDays -v -seeds 1 -seed %d", seed)
+			broken := RandomDay(seed).Play(log).Broken
+			require.Empty(t, broken,
+				"replay with: go test ./internal/fake -run TestRandomDays -v -seeds 1 -seed %d", seed)
 		})
 	}
 }
--- /dev/null
+++ b/internal/fake/referee_test.go
@@ -0,0 +1,272 @@
+package fake
+
+import (
+	"strings"
+	"testing"
+	"time"
+
+	"github.com/stretchr/testify/assert"
+	"github.com/stretchr/testify/require"
+
+	"roadcleat/internal/model"
+)
+
+// requireLastViolation requires that the last rule reported broken is the given one, and
+// clears the list.
+func requireLastViolation(t *testing.T, w *World, rule string) {
+	t.Helper()
+	require.NotEmpty(t, w.Referee.Broken, rule)
+	assert.Contains(t, w.Referee.Broken[len(w.Referee.Broken)-1], rule)
+	w.Referee.Broken = nil
+}
+
+func TestTheRefereeReportsEachBrokenRule(t *testing.T) {
+	w := New(1, Settings())
+	w.Now = time.Second
+	s := spec("job-1", "blue", 9, 2)
+	s.Zone = "a"
+	job := &Job{Spec: s, Finished: map[int]bool{}, Accepted: true}
+	w.Jobs["job-1"] = job
+	inZone, alsoInZone := newWorker(w, "vm-1", "large", "a", false), newWorker(w, "vm-2", "large", "a", false)
+	otherZone := newWorker(w, "vm-3", "large", "b", false)
+	task := func(i int) model.TaskID { return model.TaskID{Job: "job-1", Index: i} }
+
+	w.Referee.on(task(0), inZone)
+	require.Empty(t, w.Referee.Broken)
+	w.Referee.on(task(0), alsoInZone)
+	requireLastViolation(t, w, "ran_twice")
+	w.Referee.off(task(0), alsoInZone)
+	w.Referee.on(task(1), otherZone)
+	requireLastViolation(t, w, "wrong_place")
+	w.Referee.off(task(1), otherZone)
+	for i := 2; i < 8; i++ {
+		w.Referee.on(task(i), inZone)
+	}
+	require.Empty(t, w.Referee.Broken)
+	w.Referee.on(task(8), inZone)
+	w.Referee.on(task(1), inZone)
+	requireLastViolation(t, w, "quota")
+
+	w.Referee.told("job-1", 200, model.JobDone, w.Referee.known("job-1"))
+	requireLastViolation(t, w, "not_done")
+	w.Referee.told("job-1", 200, model.JobPending, w.Referee.known("job-1"))
+	requireLastViolation(t, w, "went_back")
+	w.Referee.told("job-1", 404, 0, w.Referee.known("job-1"))
+	requireLastViolation(t, w, "forgotten")
+	w.Referee.told("job-7", 200, model.JobPending, w.Referee.known("job-7"))
+	requireLastViolation(t, w, "invented")
+
+	job.Told, job.CancelRequested = model.JobPending, true
+	w.Referee.told("job-1", 200, model.JobCancelled, w.Referee.known("job-1"))
+	require.Empty(t, w.Referee.Broken)
+	w.Now += w.Cfg.CancelWithin + time.Second
+	w.Referee.overdue()
+	requireLastViolation(t, w, "ran_cancelled")
+}
+
+func TestTheRefereeReportsForgottenAndStarvedJobs(t *testing.T) {
+	w := New(1, Settings())
+	w.Now = time.Second
+	add := func(id, team string, tasks int, told model.JobState, began time.Duration) *Job {
+		job := &Job{Spec: spec(id, team, tasks, 1), Finished: map[int]bool{}, Accepted: true,
+			Answered: w.Now, Told: told, Began: began}
+		w.Jobs[id] = job
+		return job
+	}
+	broken := func() string { return strings.Join(w.Referee.Broken, "; ") }
+	unanswered := add("job-1", "red", 1, model.JobPending, time.Second)
+	w.FaultsOverAt = 100 * time.Second
+	w.Now = 100*time.Second + forgetAfter
+	w.Referee.overdue()
+	require.Empty(t, w.Referee.Broken, "the bound counts from the end of all faults")
+	w.Now += time.Second
+	w.Referee.overdue()
+	assert.Contains(t, broken(), "forgotten: no question about job-1")
+	w.Referee.Broken = nil
+
+	unanswered.Told = model.JobDone
+	add("job-2", "blue", 2, model.JobDone, time.Second)
+	add("job-3", "red", 1, model.JobDone, time.Second)
+	w.Referee.Served()
+	require.Empty(t, w.Referee.Broken)
+	large := add("job-4", "red", 50, model.JobDone, beginWithin+time.Minute)
+	w.Referee.Served()
+	assert.Contains(t, broken(), "job-4, one of the largest of work, began after")
+	w.Referee.Broken = nil
+	large.Told, large.Began = model.JobPending, time.Second
+	w.Referee.Served()
+	assert.Contains(t, broken(), "largest of class work: 0 of 1")
+	w.Referee.Broken = nil
+	for _, id := range []string{"job-5", "job-6"} {
+		add(id, "blue", 1, model.JobPending, time.Second)
+	}
+	w.Referee.Served()
+	assert.Contains(t, broken(), "team blue: 1 of 3")
+}
+
+// refereeFixture is a world without controllers, with one large machine that is up. Its
+// clock moves only when a test moves it.
+type refereeFixture struct {
+	w      *World
+	worker *Worker
+}
+
+func newRefereeFixture() *refereeFixture {
+	w := New(1, Settings())
+	w.Nodes = nil
+	w.Cloud.Room = map[string]int{}
+	w.Now = time.Second
+	worker := newWorker(w, "vm-1", "large", "a", false)
+	worker.started, worker.token = true, 1
+	w.Workers[worker.name] = worker
+	return &refereeFixture{w, worker}
+}
+
+// add adds an accepted job of team red whose tasks need four cores.
+func (f *refereeFixture) add(id string, tasks int, change func(*model.JobSpec)) *Job {
+	s := spec(id, "red", tasks, 4)
+	if change != nil {
+		change(&s)
+	}
+	job := &Job{Spec: s, Accepted: true, Finished: map[int]bool{}}
+	f.w.Jobs[id] = job
+	return job
+}
+
+// violationsWithin moves the clock by d in steps of a second, during which queries about
+// all jobs are answered, and returns the rules that the referee reports as broken.
+func (f *refereeFixture) violationsWithin(d time.Duration) []string {
+	w := f.w
+	for end := w.Now + d; w.Now < end; w.Now += time.Second {
+		for _, job := range w.Jobs {
+			job.Answered = w.Now
+		}
+		w.Referee.overdue()
+	}
+	broken := w.Referee.Broken
+	w.Referee.Broken = nil
+	return broken
+}
+
+// The parts of this test run in order in one world, each from the state that the previous
+// one left.
+func TestTheRefereeReportsStuckTasksAndStartsAfterACancellation(t *testing.T) {
+	f := newRefereeFixture()
+	checkStuckTaskIsReported(t, f)
+	checkNoReportSoonAfterFaults(t, f)
+	checkMissingReplicasAreReported(t, f)
+	checkStartsAfterACancellationAreReported(t, f)
+	checkGPUsCountForLimitsAndPlaces(t, f)
+}
+
+// checkStuckTaskIsReported lets one job after another wait for longer than the bound. The
+// referee must report those that the machine has room for and the team's limit allows.
+func checkStuckTaskIsReported(t *testing.T, f *refereeFixture) {
+	t.Helper()
+	w := f.w
+	for _, test := range []struct {
+		name     string
+		change   func(*model.JobSpec)
+		prepare  func(*Job)
+		reported bool
+	}{
+		{"room for it", nil, nil, true},
+		{"another zone", func(s *model.JobSpec) { s.Zone = "b" }, nil, false},
+		{"no GPUs there", func(s *model.JobSpec) { s.Need.GPUs = 1 }, nil, false},
+		{"a gang too large", func(s *model.JobSpec) { s.Gang, s.Tasks = true, 5 }, nil, false},
+		{"a gang that fits", func(s *model.JobSpec) { s.Gang, s.Tasks = true, 4 }, nil, true},
+		{"cancelled", nil, func(job *Job) { job.CancelRequested = true }, false},
+		{"over the limit", func(s *model.JobSpec) { s.Need.Cores, s.Team = 16, "blue" },
+			func(*Job) { w.Cfg.Teams[1].Limit.Cores = 15 }, false},
+		{"GPUs over the limit", nil, func(job *Job) {
+			w.Cloud.Types[1].Capacity.GPUs, job.Spec.Need.GPUs, w.Cfg.Teams[0].Limit.GPUs = 4, 2, 1
+		}, false},
+		{"GPUs within the limit", func(s *model.JobSpec) { s.Need.GPUs = 1 }, nil, true},
+		{"reclaimed soon", nil, func(*Job) { f.worker.spotNotice = time.Hour }, false},
+	} {
+		job := f.add("job-1", 1, test.change)
+		if test.prepare != nil {
+			test.prepare(job)
+		}
+		assert.Empty(t, f.violationsWithin(waitAtMost), test.name)
+		if broken := f.violationsWithin(3 * time.Second); test.reported {
+			require.Len(t, broken, 1, test.name)
+			assert.Contains(t, broken[0], "left_waiting", test.name)
+		} else {
+			assert.Empty(t, broken, test.name)
+		}
+	}
+}
+
+// checkNoReportSoonAfterFaults expects the bound on waiting tasks to count from the end of
+// all faults.
+func checkNoReportSoonAfterFaults(t *testing.T, f *refereeFixture) {
+	t.Helper()
+	f.worker.spotNotice = 0
+	f.w.FaultsOverAt = f.w.Now + time.Minute
+	f.add("job-1", 1, nil)
+	assert.Empty(t, f.violationsWithin(time.Minute+waitAtMost), "during the faults and for waitAtMost after them")
+	assert.NotEmpty(t, f.violationsWithin(4*time.Second))
+}
+
+// checkMissingReplicasAreReported expects a report about a service that has no replicas
+// although a machine for them can be rented.
+func checkMissingReplicasAreReported(t *testing.T, f *refereeFixture) {
+	t.Helper()
+	w := f.w
+	delete(w.Jobs, "job-1")
+	f.worker.gone = true
+	w.Cloud.Room[roomKey("small", "b", true)] = 1
+	f.add("job-2", 2, func(s *model.JobSpec) { s.Service = true })
+	assert.Empty(t, f.violationsWithin(replicaBy))
+	broken := f.violationsWithin(3 * time.Second)
+	require.Len(t, broken, 1)
+	assert.Contains(t, broken[0], "replicas_missing: job-2 lacks 2")
+}
+
+// checkStartsAfterACancellationAreReported expects a start later than cancelledStart after
+// the confirmed cancellation to be reported without faults, and counted with them.
+func checkStartsAfterACancellationAreReported(t *testing.T, f *refereeFixture) {
+	t.Helper()
+	w := f.w
+	f.worker.gone = false
+	job := f.add("job-3", 9, nil)
+	task := func(i int) model.TaskID { return model.TaskID{Job: "job-3", Index: i} }
+	job.Cancelled = w.Now
+	w.Now += cancelledStart
+	w.Referee.on(task(0), f.worker)
+	require.Empty(t, w.Referee.Broken, "a command that was already on its way")
+	w.Now++
+	w.Referee.on(task(1), f.worker)
+	require.Len(t, w.Referee.Broken, 1)
+	assert.Contains(t, w.Referee.Broken[0], "started_cancelled")
+	assert.Equal(t, 2, w.Referee.AfterCancel)
+	w.Referee.Broken, job.Cancelled, w.FaultsOverAt = nil, w.Now, w.Now
+	w.Now += cancelledStart + time.Second
+	w.Referee.on(task(2), f.worker)
+	assert.Empty(t, w.Referee.Broken, "with faults only the bound CancelWithin applies")
+}
+
+// checkGPUsCountForLimitsAndPlaces expects reports when a team uses more GPUs than its
+// limit, and when a task that needs a GPU is on a machine without any.
+func checkGPUsCountForLimitsAndPlaces(t *testing.T, f *refereeFixture) {
+	t.Helper()
+	w := f.w
+	s := spec("job-4", "red", 3, 1)
+	s.Need.GPUs = 1
+	w.Jobs["job-4"] = &Job{Spec: s, Accepted: true}
+	w.Cfg.Teams[0].Limit.GPUs = 2
+	for i := range 2 {
+		w.Referee.on(model.TaskID{Job: "job-4", Index: i}, f.worker)
+	}
+	require.Empty(t, w.Referee.Broken)
+	w.Referee.on(model.TaskID{Job: "job-4", Index: 2}, f.worker)
+	require.Len(t, w.Referee.Broken, 1)
+	assert.Contains(t, w.Referee.Broken[0], "quota: red uses")
+	w.Referee.Broken = nil
+	w.Cloud.Types[1].Capacity.GPUs = 0
+	w.Cfg.Teams[0].Limit.GPUs = 0
+	w.Referee.on(model.TaskID{Job: "job-4", Index: 2}, f.worker)
+	require.Len(t, w.Referee.Broken, 1)
+	assert.Contains(t, w.Referee.Broken[0], "wrong_place", "the machine has no GPUs")
+}
--- a/internal/fake/script_test.go
+++ b/internal/fake/script_test.go
@@ -9,24 +9,26 @@
 	"github.com/stretchr/testify/require"
 )
 
-func TestAScriptReadsBackAndGivesTheSameVerdictAgain(t *testing.T) {
+// logTo returns a log function that writes lines to b.
+func logTo(b *strings.Builder) func(string, ...any) {
+	return func(format string, args ...any) { fmt.Fprintf(b, format+"\n", args...) }
+}
+
+func TestAScriptRoundTripsAndReplaysIdentically(t *testing.T) {
 	for _, seed := range []uint64{3, 14, 25} {
-		s := RandomDay(seed)
-		again, err := ReadScript(strings.NewReader(s.String()))
+		script := RandomDay(seed)
+		decoded, err := ReadScript(strings.NewReader(script.String()))
 		require.NoError(t, err)
-		require.Equal(t, s.String(), again.String())
-		var first, second strings.Builder
-		log := func(b *strings.Builder) func(string, ...any) {
-			return func(format string, args ...any) { fmt.Fprintf(b, format+"\n", args...) }
-		}
-		a, b := s.Play(log(&first)), again.Play(log(&second))
-		assert.Equal(t, a, b)
-		require.True(t, first.String() == second.String(), "all that happens is the same, seed %d", seed)
+		require.Equal(t, script.String(), decoded.String())
+		var firstLog, secondLog strings.Builder
+		first, second := script.Play(logTo(&firstLog)), decoded.Play(logTo(&secondLog))
+		assert.Equal(t, first, second)
+		require.True(t, firstLog.String() == secondLog.String(), "both plays log the same events, seed %d", seed)
 	}
 }
 
 func TestScriptsThatCannotBePlayedAreRefused(t *testing.T) {
-	for bad, why := range map[string]string{
+	for script, message := range map[string]string{
 		`{"jobs":[{"id":"job-1"},{"id":"job-1"}]}`:                          "named twice",
 		`{"steps":[{"trouble":"rain"}]}`:                                    `unknown trouble "rain"`,
 		`{"steps":[{"trouble":"freeze","step":"place","phase":"during"}]}`:  "occurrence 0",
@@ -34,28 +36,32 @@
 		`{"wrld":{}}`: "unknown field",
 		`{`:           "unexpected EOF",
 	} {
-		_, err := ReadScript(strings.NewReader(bad))
-		require.Error(t, err, bad)
-		assert.Contains(t, err.Error(), why)
+		_, err := ReadScript(strings.NewReader(script))
+		require.Error(t, err, script)
+		assert.Contains(t, err.Error(), message)
 	}
 }
 
-func TestAFailingScriptShrinksToWhatBreaksTheRule(t *testing.T) {
-	s := RandomDay(3)
-	s.Steps = append(s.Steps, InjectedFault{At: 30, Fault: "freeze", For: 12, Node: "node-1"})
-	// Stands for a fault that needs one job of several tasks and a long standstill.
-	play := func(s Script) (v Verdict) {
-		for _, j := range s.Jobs {
-			for _, x := range s.Steps {
-				if j.ID == "job-7" && j.Spec.Tasks >= 1 && x.Fault == "freeze" && x.For >= 5 && x.Node == "node-1" {
-					v.Broken = []string{"31s ran_twice: {job-7 0} starts on vm-1"}
-				}
+// playFreezeFault stands for a fault in the scheduler that needs one certain job and a
+// freeze of node-1 of at least five seconds.
+func playFreezeFault(script Script) Verdict {
+	var verdict Verdict
+	for _, job := range script.Jobs {
+		for _, step := range script.Steps {
+			if job.ID == "job-7" && job.Spec.Tasks >= 1 &&
+				step.Fault == "freeze" && step.For >= 5 && step.Node == "node-1" {
+				verdict.Broken = []string{"31s ran_twice: {job-7 0} starts on vm-1"}
 			}
 		}
-		return v
 	}
-	short, played := s.Shrink(2000, play)
-	assert.Equal(t, "ran_twice", play(short).Rule())
+	return verdict
+}
+
+func TestAFailingScriptShrinksToWhatBreaksTheRule(t *testing.T) {
+	script := RandomDay(3)
+	script.Steps = append(script.Steps, InjectedFault{At: 30, Fault: "freeze", For: 12, Node: "node-1"})
+	short, played := script.Shrink(2000, playFreezeFault)
+	assert.Equal(t, "ran_twice", playFreezeFault(short).Rule())
 	require.Len(t, short.Jobs, 1)
 	require.Len(t, short.Steps, 1)
 	assert.Equal(t, 1, short.Jobs[0].Spec.Tasks)
@@ -63,9 +69,9 @@
 	assert.Zero(t, short.World.Lost+short.World.Noise+short.World.Copies)
 	assert.Less(t, played, 1000)
 
-	few, played := s.Shrink(10, play)
+	limited, played := script.Shrink(10, playFreezeFault)
 	assert.LessOrEqual(t, played, 11)
-	assert.Equal(t, "ran_twice", play(few).Rule(), "however few days it may play")
-	same, _ := short.Shrink(100, func(Script) Verdict { return Verdict{} })
-	assert.Equal(t, short.String(), same.String(), "what breaks nothing stays as it is")
+	assert.Equal(t, "ran_twice", playFreezeFault(limited).Rule(), "it still fails with few plays allowed")
+	unchanged, _ := short.Shrink(100, func(Script) Verdict { return Verdict{} })
+	assert.Equal(t, short.String(), unchanged.String(), "a script that breaks no rule is not changed")
 }
--- a/internal/fake/walk_test.go
+++ b/internal/fake/walk_test.go
@@ -7,43 +7,43 @@
 	"github.com/stretchr/testify/require"
 )
 
-// TestAWalkOverPairsKeepsTheRules plays a fixed part of the walk: every 53rd pair. All of
-// it: go run ./cmd/search walk.
-func TestAWalkOverPairsKeepsTheRules(t *testing.T) {
-	i, faults, steps := 0, map[string]bool{}, map[Step]bool{}
-	for p := range Walk(1) {
-		if i++; i%53 != 0 {
+// TestSampledFaultPairsKeepTheRules plays a fixed sample of the walk: every 53rd pair. The
+// command for all of it is: go run ./cmd/search walk.
+func TestSampledFaultPairsKeepTheRules(t *testing.T) {
+	pairs, faults, steps := 0, map[string]bool{}, map[Step]bool{}
+	for pair := range Walk(1) {
+		if pairs++; pairs%53 != 0 {
 			continue
 		}
-		faults[p.Fault], steps[p.Step] = true, true
-		t.Run(p.String(), func(t *testing.T) {
+		faults[pair.Fault], steps[pair.Step] = true, true
+		t.Run(pair.String(), func(t *testing.T) {
 			t.Parallel()
-			v := p.Script().Play(nil)
-			assert.Empty(t, v.Broken, p.Script().String())
-			assert.NotContains(t, v.Injected, false, "the moment came")
+			verdict := pair.Script().Play(nil)
+			assert.Empty(t, verdict.Broken, pair.Script().String())
+			assert.NotContains(t, verdict.Injected, false, "every fault was injected")
 		})
 	}
-	assert.Equal(t, WalkSize(1), i)
+	assert.Equal(t, WalkSize(1), pairs)
 	assert.Len(t, steps, len(Steps))
 	assert.Len(t, faults, len(Faults))
 }
 
-func TestTheSmallDayBringsAboutEveryStep(t *testing.T) {
-	phases := map[Step]map[Phase]int{}
-	s := SmallDay()
-	w := s.build()
+func TestTheSmallDayCoversEveryStepAndPhase(t *testing.T) {
+	occurrences := map[Step]map[Phase]int{}
+	script := SmallDay()
+	w := script.build()
 	w.OnMoment = func(m Moment) {
-		if phases[m.Step] == nil {
-			phases[m.Step] = map[Phase]int{}
+		if occurrences[m.Step] == nil {
+			occurrences[m.Step] = map[Phase]int{}
 		}
-		phases[m.Step][m.Phase]++
+		occurrences[m.Step][m.Phase]++
 	}
-	s.submit(w)
-	w.After(seconds(s.Steps[0].At), func() { s.Steps[0].inject(w, Moment{}) })
+	script.submit(w)
+	w.After(seconds(script.Steps[0].At), func() { script.Steps[0].inject(w, Moment{}) })
 	w.Run(2 * afterwards)
 	for _, step := range Steps {
 		for _, phase := range Phases {
-			assert.Positive(t, phases[step][phase], "%s %s", phase, step)
+			assert.Positive(t, occurrences[step][phase], "%s %s", phase, step)
 		}
 	}
 	require.Empty(t, w.Referee.Broken)
