--- a/internal/fake/meet_cancel_more_test.go
+++ b/internal/fake/cancellation_combinations_test.go
@@ -13,9 +13,9 @@
 	"roadcleat/internal/model"
 )
 
-// asks has users ask about a job at one controller again and again for a while, and
+// askRepeatedly has users ask about a job at one controller again and again for a while, and
 // counts the answers by status.
-func asks(w *World, node *Node, id string, every, d time.Duration) map[int]int {
+func askRepeatedly(w *World, node *Node, id string, every, d time.Duration) map[int]int {
 	answers := map[int]int{}
 	for at := time.Duration(0); at < d; at += every {
 		w.After(at, func() {
@@ -25,8 +25,8 @@
 	return answers
 }
 
-// holds says whether a controller holds itself a zone's owner.
-func holds(node *Node, zone string) bool {
+// claimsOwnership says whether a controller holds itself a zone's owner.
+func claimsOwnership(node *Node, zone string) bool {
 	for _, p := range node.Core.Status().Shards {
 		if p.Zone == zone && p.OwnedHere {
 			return true
@@ -35,8 +35,8 @@
 	return false
 }
 
-// nowOn counts the tasks of the jobs that are on machines.
-func nowOn(w *World, jobs []*Job) int {
+// tasksOnMachines counts the tasks of the jobs that are on machines.
+func tasksOnMachines(w *World, jobs []*Job) int {
 	n := 0
 	for _, j := range jobs {
 		for _, k := range w.On(j.Spec.ID) {
@@ -46,8 +46,8 @@
 	return n
 }
 
-// runsInA submits jobs of a team to zone a and waits until all their tasks run.
-func runsInA(t *testing.T, w *World, team string, jobs, tasks int, cores float64) []*Job {
+// runJobsInZoneA submits jobs of a team to zone a and waits until all their tasks run.
+func runJobsInZoneA(t *testing.T, w *World, team string, jobs, tasks int, cores float64) []*Job {
 	t.Helper()
 	var out []*Job
 	for range jobs {
@@ -55,33 +55,33 @@
 		s.Zone, s.Spot = "a", false
 		out = append(out, w.Submit(s, 10*time.Minute))
 	}
-	require.True(t, w.Until(2*time.Minute, func() bool { return nowOn(w, out) == jobs*tasks }), "all of it runs")
+	require.True(t, w.Until(2*time.Minute, func() bool { return tasksOnMachines(w, out) == jobs*tasks }), "all of it runs")
 	return out
 }
 
-func TestJobsAreCancelledThroughTheNewLeaderWhileTheOldOneStillHasWorkersAndUsers(t *testing.T) {
+func TestCancellationThroughNewLeaderWhileIsolatedLeaderServes(t *testing.T) {
 	for _, hold := range []bool{false, true} {
 		w := day(t, 130)
-		jobs := runsInA(t, w, "red", 4, 2, 2)
+		jobs := runJobsInZoneA(t, w, "red", 4, 2, 2)
 		old := w.Nodes[0]
 		w.Isolate(old, 60*time.Second, hold)
 		var at *Node
 		require.True(t, w.Until(20*time.Second, func() bool {
 			for _, node := range w.Nodes[1:] {
-				if holds(node, "a") {
+				if claimsOwnership(node, "a") {
 					at = node
 				}
 			}
 			return at != nil
 		}), "another controller leads")
-		require.True(t, holds(old, "a"), "and the old one does not know")
+		require.True(t, claimsOwnership(old, "a"), "and the old one does not know")
 		var answers []map[int]int
 		for _, j := range jobs {
-			answers = append(answers, asks(w, old, j.Spec.ID, 100*time.Millisecond, 50*time.Second))
+			answers = append(answers, askRepeatedly(w, old, j.Spec.ID, 100*time.Millisecond, 50*time.Second))
 			w.CancelAt(at, j, nil)
 		}
 		w.Run(w.Cfg.CancelWithin)
-		assert.Zero(t, nowOn(w, jobs))
+		assert.Zero(t, tasksOnMachines(w, jobs))
 		for _, a := range answers {
 			assert.Greater(t, a[503], 300, "the old leader is asked and says that it can't know")
 			assert.Zero(t, a[404])
@@ -90,9 +90,9 @@
 	}
 }
 
-func TestUsersCancelAndAskWhileTheStateServiceIsSlowThenRefusesTheLeaderThenAll(t *testing.T) {
+func TestCancellationsWhileStateServiceIsSlowThenRefusesLeaderThenAll(t *testing.T) {
 	w := day(t, 131)
-	jobs := runsInA(t, w, "red", 9, 2, 2)
+	jobs := runJobsInZoneA(t, w, "red", 9, 2, 2)
 	w.Store.Late = func(string, core.Operation) time.Duration {
 		return 200*time.Millisecond + time.Duration(w.Rng.IntN(900))*time.Millisecond
 	}
@@ -109,7 +109,7 @@
 		for i, j := range some {
 			w.After(time.Duration(i)*300*time.Millisecond, func() { w.Cancel(j) })
 			for _, n := range w.Nodes {
-				asks(w, n, j.Spec.ID, 500*time.Millisecond, w.Cfg.CancelWithin)
+				askRepeatedly(w, n, j.Spec.ID, 500*time.Millisecond, w.Cfg.CancelWithin)
 			}
 		}
 	}
@@ -134,15 +134,15 @@
 		ends(t, w, j, 30*time.Second)
 	}
 	w.Run(5 * time.Second)
-	assert.Zero(t, nowOn(w, jobs[:8]))
+	assert.Zero(t, tasksOnMachines(w, jobs[:8]))
 	assert.False(t, jobs[8].Over(), "what nobody cancelled goes on")
 }
 
-func TestACancellationWithoutAnAnswerIsConfirmedOnlyOnceItHolds(t *testing.T) {
+func TestCancellationWithLostAnswerIsConfirmedOnlyOnceDurable(t *testing.T) {
 	// Carried out at once, late, and late after the user has repeated it.
 	for _, late := range []time.Duration{0, 1500 * time.Millisecond, 7 * time.Second} {
 		w := day(t, 136)
-		job := runsInA(t, w, "red", 1, 2, 2)[0]
+		job := runJobsInZoneA(t, w, "red", 1, 2, 2)[0]
 		lost := false
 		w.Store.Lose = func(_ string, txn core.Txn) (bool, time.Duration) {
 			for _, a := range txn.Mutations {
@@ -154,7 +154,7 @@
 			return false, 0
 		}
 		for _, n := range w.Nodes {
-			asks(w, n, job.Spec.ID, 30*time.Millisecond, 12*time.Second)
+			askRepeatedly(w, n, job.Spec.ID, 30*time.Millisecond, 12*time.Second)
 		}
 		w.CancelAt(w.Nodes[1], job, nil)
 		require.True(t, w.Until(5*time.Second, func() bool { return lost }))
@@ -167,10 +167,10 @@
 	}
 }
 
-func TestASoleControllerThatEndsRightAfterItConfirmedStopsTheJobWhenItIsBack(t *testing.T) {
+func TestSoleControllerRestartedAfterConfirmationStopsJob(t *testing.T) {
 	// Nobody else knows; its next life finds out when it loads.
 	w := oneController(t, 137, nil)
-	job := runsInA(t, w, "red", 1, 2, 2)[0]
+	job := runJobsInZoneA(t, w, "red", 1, 2, 2)[0]
 	for _, k := range w.Alive() {
 		w.CutOneWay("node-0", k.name, 100*time.Millisecond)
 	}
@@ -185,15 +185,15 @@
 	assert.Empty(t, w.On(job.Spec.ID))
 }
 
-func TestTeamsAtTheirLimitsWhileCancelledJobsAreOnMachinesThatCannotBeAsked(t *testing.T) {
+func TestTeamsAtLimitWithCancelledJobsOnUnreachableMachines(t *testing.T) {
 	for _, held := range []string{"cut", "held", "hang"} {
 		t.Run(held, func(t *testing.T) {
 			w := day(t, 132)
 			for k := range w.Cloud.Room {
 				w.Cloud.Room[k] = 6
 			}
-			red, blue := runsInA(t, w, "red", 5, 2, 4), runsInA(t, w, "blue", 2, 2, 4) // 40 of 40 and 16 of 16 cores
-			w.Cloud.BootS = func(string) float64 { return 0.5 }                        // what waits has machines at once
+			red, blue := runJobsInZoneA(t, w, "red", 5, 2, 4), runJobsInZoneA(t, w, "blue", 2, 2, 4) // 40 of 40 and 16 of 16 cores
+			w.Cloud.BootS = func(string) float64 { return 0.5 }                                      // what waits has machines at once
 			var next []*Job
 			for _, team := range []string{"red", "blue"} {
 				s := spec("job-9"+team, team, 4, 4)
@@ -201,7 +201,7 @@
 				next = append(next, w.Submit(s, 20*time.Second))
 			}
 			w.Run(12 * time.Second)
-			require.Zero(t, nowOn(w, next), "the limits are used up")
+			require.Zero(t, tasksOnMachines(w, next), "the limits are used up")
 			for _, j := range append(slices.Clone(red), blue...) {
 				for worker := range w.On(j.Spec.ID) {
 					if held == "hang" {
@@ -221,12 +221,12 @@
 				ends(t, w, j, 3*time.Minute)
 			}
 			w.Run(w.Cfg.CancelWithin)
-			assert.Zero(t, nowOn(w, append(slices.Clone(red[:3]), blue...)))
+			assert.Zero(t, tasksOnMachines(w, append(slices.Clone(red[:3]), blue...)))
 		})
 	}
 }
 
-func TestACancellationAQuestionAndARepetitionMeetTheEndOfAJob(t *testing.T) {
+func TestCancellationQueryAndResubmissionDuringJobCompletion(t *testing.T) {
 	w := day(t, 133)
 	for k := range w.Cloud.Room {
 		w.Cloud.Room[k] = 4
@@ -271,10 +271,10 @@
 	assert.Greater(t, strikes, 80)
 	assert.Greater(t, told[model.JobDone], 10, "ended first")
 	assert.Greater(t, told[model.JobCancelled], 10, "cancelled first")
-	assert.Zero(t, nowOn(w, jobs))
+	assert.Zero(t, tasksOnMachines(w, jobs))
 }
 
-func TestJobsAreCancelledWhileWorkChangesHands(t *testing.T) {
+func TestCancellationDuringClaimAndHandover(t *testing.T) {
 	for _, c := range []struct {
 		step  Step
 		phase Phase
@@ -288,7 +288,7 @@
 			for k := range w.Cloud.Room {
 				w.Cloud.Room[k] = 6
 			}
-			jobs := runsInA(t, w, "red", 8, 1, 4)
+			jobs := runJobsInZoneA(t, w, "red", 8, 1, 4)
 			w.Run(3 * time.Second)
 			var cancelled []*Job
 			back := false
@@ -305,17 +305,17 @@
 				ends(t, w, j, 20*time.Second)
 			}
 			w.Run(20 * time.Second)
-			assert.Zero(t, nowOn(w, cancelled))
+			assert.Zero(t, tasksOnMachines(w, cancelled))
 			assert.Equal(t, w.Nodes[0], leaderOf(w, "a"), "home again")
 			if c.hang == 0 {
-				assert.Equal(t, 3, nowOn(w, jobs), "the others run on")
+				assert.Equal(t, 3, tasksOnMachines(w, jobs), "the others run on")
 			}
 			assert.Zero(t, w.Referee.AfterCancel, "no start after a confirmed cancellation")
 		})
 	}
 }
 
-func TestNewMachinesGetWorkAtOnceWhileWritesLagAndTheLeaderEnds(t *testing.T) {
+func TestLeaderRestartAtPlacementOnNewMachinesWithSlowWrites(t *testing.T) {
 	for _, end := range []Phase{Before, During, After} {
 		t.Run(string(end), func(t *testing.T) {
 			w := day(t, 135)
@@ -352,7 +352,7 @@
 			}
 			assert.Equal(t, model.JobCancelled, jobs[1].Told)
 			w.Run(20 * time.Second)
-			assert.Zero(t, nowOn(w, jobs))
+			assert.Zero(t, tasksOnMachines(w, jobs))
 		})
 	}
 }
--- a/internal/fake/standstill_test.go
+++ b/internal/fake/clock_jump_test.go
@@ -12,7 +12,7 @@
 	"roadcleat/internal/core"
 )
 
-func TestAControllerThatStoodStillUntilAnotherTookItsPartDoesNoHarm(t *testing.T) {
+func TestControllerResumingAfterFailoverReturnsNoMachines(t *testing.T) {
 	// Its clock ran on: every machine seemed silent for longer than any lease and
 	// every idle one long idle, and it gave all of another owner's machines back.
 	cfg := Settings()
@@ -44,7 +44,7 @@
 	assert.Equal(t, starts, w.Referee.Starts, "nothing had to run again")
 }
 
-func TestAControllerThatStoodStillAlongWithItsPartKeepsTheMachines(t *testing.T) {
+func TestStalledSoleControllerKeepsItsMachines(t *testing.T) {
 	// Nobody else could answer the workers, so their leases did run out. Reports
 	// that had waited and that their workers had given up seemed to be answered on
 	// waking; the sessions after them then made every machine look deaf.
@@ -60,7 +60,7 @@
 	ends(t, w, job, 2*time.Minute)
 }
 
-func TestWithdrawalsAreKnownBeforeWorkGoesOnWhenTheStoreKeepsNoChangesOfThen(t *testing.T) {
+func TestCancellationsAreReadBeforeStartsWhenWatchHistoryIsCompacted(t *testing.T) {
 	// All controllers miss more changes than the store keeps, and nobody asks for
 	// the job that was withdrawn meanwhile.
 	w := day(t, 46)
--- a/internal/fake/leader_changes_test.go
+++ b/internal/fake/leader_changes_test.go
@@ -15,8 +15,8 @@
 	"roadcleat/internal/model"
 )
 
-// launched counts the launches of each task that were sent, in whatever way.
-func launched(w *World) map[model.TaskID]int {
+// countLaunches counts the launches of each task that were sent, in whatever way.
+func countLaunches(w *World) map[model.TaskID]int {
 	n := map[model.TaskID]int{}
 	w.DelayOnWire = func(_ *Worker, what any) time.Duration {
 		var commands []core.Command
@@ -36,16 +36,16 @@
 	return n
 }
 
-func TestTasksThatEndFarApartAcrossAChangeOfLeaderRunOnce(t *testing.T) {
+func TestTasksEndingAcrossFailoverRunOnce(t *testing.T) {
 	// The first ends a moment before its leader does, which has not written it down;
 	// one while there is none; one long after. The next leader finds the ends in the
 	// reports, where they stay until they are durable.
 	for _, zones := range [][]string{{"a"}, {"a", "b", "c"}} {
-		w := idleMachines(t, 108, 3, zones...)
-		for i, k := range alive(w, "a")[:3] {
+		w := worldWithIdleMachines(t, 108, 3, zones...)
+		for i, k := range aliveWorkers(w, "a")[:3] {
 			k.Slow = []float64{1, 1.3, 5}[i]
 		}
-		n := launched(w)
+		n := countLaunches(w)
 		job := w.Submit(plain("job-1", 3), 10*time.Second)
 		require.True(t, w.Until(10*time.Second, started(w, "job-1", 3)))
 		require.True(t, w.Until(30*time.Second, func() bool { return len(job.Finished) == 1 }))
@@ -63,13 +63,13 @@
 	}
 }
 
-func TestAllControllersAwayForLongerThanALease(t *testing.T) {
+func TestAllControllersDownLongerThanWorkerLease(t *testing.T) {
 	// What ran is killed by the leases. Reports of before, and one held back until the
 	// next leader has acted, tell of tasks that are no more, and of none yet.
 	for _, zones := range [][]string{{"a"}, {"a", "b", "c"}} {
-		w := idleMachines(t, 111, 4, zones...)
+		w := worldWithIdleMachines(t, 111, 4, zones...)
 		early := map[*Worker]core.WorkerStatus{} // of before the job
-		for _, k := range alive(w, "a") {
+		for _, k := range aliveWorkers(w, "a") {
 			early[k] = k.status()
 		}
 		job := w.Submit(plain("job-1", 4), 25*time.Second)
@@ -86,7 +86,7 @@
 		w.OnClaim(func(string, string) {
 			for d, reports := range map[time.Duration]map[*Worker]core.WorkerStatus{
 				100 * time.Millisecond: early, 3 * time.Second: running, 8 * time.Second: early, 9 * time.Second: running} {
-				for _, worker := range alive(w, "a") {
+				for _, worker := range aliveWorkers(w, "a") {
 					if status, ok := reports[worker]; ok {
 						w.After(d, func() {
 							for _, n := range w.Nodes {
@@ -102,20 +102,20 @@
 	}
 }
 
-func TestALeaderEndsWhileMachinesDoNotHearTheNextOne(t *testing.T) {
+func TestFailoverWhileMachinesAreUnreachable(t *testing.T) {
 	// A launch of the former leader is under way for 6 s. The machine is heard by the
 	// next one, without the task, and hears nothing of it: what it shows proves nothing
 	// until it shows the new token.
 	for _, reached := range []string{"not at all", "reports only"} {
-		w := idleMachines(t, 112, 4, "a")
+		w := worldWithIdleMachines(t, 112, 4, "a")
 		node := w.Nodes[0]
 		long := w.Submit(plain("job-2", 2), 40*time.Second)
 		require.True(t, w.Until(10*time.Second, started(w, "job-2", 2)))
-		at := holdLaunch(w, "job-1", 6*time.Second, 0)
+		at := delayLaunch(w, "job-1", 6*time.Second, 0)
 		job := w.Submit(plain("job-1", 1), 20*time.Second)
 		require.True(t, w.Until(10*time.Second, func() bool { return at() != nil }), "a launch is held up")
 		node.Restart(100 * time.Millisecond)
-		for _, worker := range append([]*Worker{at()}, sortedOn(w, "job-2")...) {
+		for _, worker := range append([]*Worker{at()}, workersRunning(w, "job-2")...) {
 			if reached == "not at all" {
 				w.Cut(node.Name, worker.name, 9*time.Second, false)
 			} else {
@@ -130,7 +130,7 @@
 	}
 }
 
-func sortedOn(w *World, id string) []*Worker {
+func workersRunning(w *World, id string) []*Worker {
 	var out []*Worker
 	for k := range w.On(id) {
 		out = append(out, k)
@@ -139,7 +139,7 @@
 	return out
 }
 
-func TestNewMachinesUpAtOnceWhileWritesLagAndTheLeaderEnds(t *testing.T) {
+func TestLeaderRestartWithFastBootAndLostWriteAnswers(t *testing.T) {
 	// Machines are up within two seconds, each transaction takes as long, and some get
 	// no answer. The leader ends once before and once after its placements are written,
 	// and nobody reaches the machines of then for a while.
@@ -163,7 +163,7 @@
 			}
 		}
 		w.Store.Lose = func(node string, txn core.Txn) (bool, time.Duration) {
-			if !changes(txn, "slice/") || !placesAny(txn) {
+			if !changes(txn, "slice/") || !placesTasks(txn) {
 				return false, 0
 			}
 			if n++; n == 1 && !after {
@@ -172,7 +172,7 @@
 			return n%2 == 1, 4 * time.Second
 		}
 		w.Store.OnExecuted = append(w.Store.OnExecuted, func(node string, txn core.Txn, res core.CommitResult) {
-			if after && ended == "" && placesAny(txn) && res.Outcome == core.OutcomeOK {
+			if after && ended == "" && placesTasks(txn) && res.Outcome == core.OutcomeOK {
 				end(node)
 			}
 		})
@@ -198,18 +198,18 @@
 	}
 }
 
-// placesAny says whether a transaction gives any task a machine.
-func placesAny(x core.Txn) bool {
+// placesTasks says whether a transaction gives any task a machine.
+func placesTasks(x core.Txn) bool {
 	return slices.ContainsFunc(x.Mutations, places)
 }
 
-func TestLeadersChangeTenTimesInTwoMinutes(t *testing.T) {
+func TestTenFailoversInTwoMinutes(t *testing.T) {
 	// They end and come back, hand parts over and take them home again; also while
 	// the state service is out, and all within a second of each other. What a leader
 	// launches last is held up, its machines don't hear the next one for a while, and
 	// copies of all machines' reports await that one.
 	for _, outage := range []bool{false, true} {
-		w := idleMachines(t, 116, 6, "a", "b", "c")
+		w := worldWithIdleMachines(t, 116, 6, "a", "b", "c")
 		claims, held, last := 0, 0, ""
 		late := map[*Worker]bool{}
 		w.DelayOnWire = func(worker *Worker, what any) time.Duration {
@@ -247,7 +247,7 @@
 			if outage && i%3 == 1 {
 				w.Store.Outage(7 * time.Second)
 			}
-			for _, k := range alive(w, "a") {
+			for _, k := range aliveWorkers(w, "a") {
 				kept = append(kept, k.status())
 			}
 			lead := leaderOf(w, "a")
@@ -260,7 +260,7 @@
 			jobs = append(jobs, w.Submit(s, 9*time.Second))
 			w.Run(time.Second)
 			last = ""
-			for _, worker := range alive(w, "a") {
+			for _, worker := range aliveWorkers(w, "a") {
 				if late[worker] {
 					w.CutInbound(worker, 7*time.Second)
 				}
@@ -284,10 +284,10 @@
 	}
 }
 
-func TestAllEndAsAPartIsHandedHomeAndOneReturnsWithinASecond(t *testing.T) {
+func TestAllControllersRestartDuringHandoverOfShard(t *testing.T) {
 	// The launches that the interim owner sent last are still under way, and their
 	// machines don't hear whoever returns.
-	w := idleMachines(t, 121, 6, "a", "b", "c")
+	w := worldWithIdleMachines(t, 121, 6, "a", "b", "c")
 	w.Nodes[0].Restart(7 * time.Second)
 	inFlight, met := map[*Worker]time.Duration{}, 0
 	w.DelayOnWire = func(worker *Worker, what any) time.Duration {
@@ -304,7 +304,7 @@
 		for i, n := range w.Nodes {
 			n.Restart([]time.Duration{8 * time.Second, 300 * time.Millisecond, 9 * time.Second}[i])
 		}
-		for _, worker := range alive(w, "a") {
+		for _, worker := range aliveWorkers(w, "a") {
 			if w.Now < inFlight[worker] {
 				met++
 				w.CutInbound(worker, 6*time.Second)
--- a/internal/fake/lost_machines_test.go
+++ b/internal/fake/lost_machines_test.go
@@ -15,7 +15,7 @@
 	"roadcleat/internal/model"
 )
 
-func TestWorkBoundToPlacesStaysThereWhenItsMachinesAreLost(t *testing.T) {
+func TestZoneConstraintsHoldWhenMachinesAreLost(t *testing.T) {
 	// A zone loses its machines and has no others for a while; the other zones have
 	// plenty. What is bound waits, what is not goes there.
 	bound := map[string]func(*model.JobSpec){
@@ -29,7 +29,7 @@
 	}
 	for _, name := range slices.Sorted(maps.Keys(bound)) {
 		t.Run(name, func(t *testing.T) {
-			w := idleMachines(t, 109, 4, "a", "b", "c")
+			w := worldWithIdleMachines(t, 109, 4, "a", "b", "c")
 			s := plain("job-1", 3)
 			s.Zone = ""
 			bound[name](&s)
@@ -47,7 +47,7 @@
 			}
 			kept := anyOn(w, "job-1") // where the others must be, if all must be in one zone
 			require.Equal(t, "a", kept.zone)
-			for _, worker := range alive(w, "a") {
+			for _, worker := range aliveWorkers(w, "a") {
 				if !s.OneZone || worker != kept {
 					worker.Die()
 				}
@@ -65,10 +65,10 @@
 	}
 }
 
-func TestAZoneCutOffForLongerThanALeaseKeepsItsWork(t *testing.T) {
+func TestZoneIsolatedLongerThanLeaseKeepsRunningTasks(t *testing.T) {
 	// Inside, a controller goes on answering; outside, another one takes the part. It
 	// never heard the workers, so no lease that it could reckon proves anything.
-	w := idleMachines(t, 110, 3, "a", "b", "c")
+	w := worldWithIdleMachines(t, 110, 3, "a", "b", "c")
 	s := plain("job-1", 3)
 	s.Zone = ""
 	job := w.Submit(s, 90*time.Second)
@@ -77,7 +77,7 @@
 	for _, other := range []string{"state", "cloud", "users", "node-1", "node-2"} {
 		w.Cut("node-0", other, long, true)
 	}
-	for _, worker := range alive(w, "a") {
+	for _, worker := range aliveWorkers(w, "a") {
 		w.Cut("node-1", worker.name, long, true)
 		w.Cut("node-2", worker.name, long, true)
 	}
@@ -89,10 +89,10 @@
 	assert.Equal(t, 3, job.Starts, "nothing had to run again")
 }
 
-func TestAMachineThatReachesNobodyWhileCommandsReachIt(t *testing.T) {
+func TestMachineWithOutboundCutStillReceivesCommands(t *testing.T) {
 	// Its lease runs out although it is told, and answers, all the time. Work that a
 	// command starts in the session after has a lease of its own.
-	w := idleMachines(t, 113, 1, "a")
+	w := worldWithIdleMachines(t, 113, 1, "a")
 	large := func(id string, tasks int) model.JobSpec {
 		s := plain(id, tasks)
 		s.Types = []string{"large"}
@@ -128,7 +128,7 @@
 	assert.Positive(t, told[2], "in the session after as well")
 }
 
-func TestCommandsHeldUpWhileMachinesHang(t *testing.T) {
+func TestDelayedCommandsWhileMachinesHang(t *testing.T) {
 	// A machine hangs as its launch arrives, or as it is told to stop, and goes on at
 	// the end of its lease or after it; or the answer alone is late or lost.
 	for _, c := range []struct {
@@ -139,7 +139,7 @@
 	}{{"to the end of the lease", true, -50 * time.Millisecond, 0}, {"beyond it", true, 10 * time.Second, 0},
 		{"the answer is late", false, 0, 6 * time.Second}, {"the answer is lost", false, 0, -1}} {
 		t.Run(c.name, func(t *testing.T) {
-			w := idleMachines(t, 114, 4, "a")
+			w := worldWithIdleMachines(t, 114, 4, "a")
 			hit := map[string]*Worker{}
 			w.DelayOnWire = func(worker *Worker, what any) time.Duration {
 				switch m := what.(type) {
@@ -178,7 +178,7 @@
 	}
 }
 
-func TestMoreWorkThanRoomOverSlowLinks(t *testing.T) {
+func TestMoreWorkThanCapacityOverSlowLinks(t *testing.T) {
 	// Every packet takes a quarter of a second and more. Work that may be stopped and
 	// saves fills all machines there are; then others keep coming, urgent and not. The
 	// referee sees what is left waiting beside free room.
--- a/internal/fake/overload_test.go
+++ b/internal/fake/overload_test.go
@@ -11,9 +11,9 @@
 	"roadcleat/internal/core"
 )
 
-// silentWorkers has a third of the machines reach no controller for a while, in a zone
+// returnedAfterSilence has a third of the machines reach no controller for a while, in a zone
 // whose owner turns requests away or does not, and returns how many were given back.
-func silentWorkers(t *testing.T, seed uint64, overloaded bool) int {
+func returnedAfterSilence(t *testing.T, seed uint64, overloaded bool) int {
 	w := gpuDay(t, seed, 8*time.Second, 40)
 	for i := range 12 {
 		w.Submit(sweep(fmt.Sprintf("job-%02d", i), 24, 200), 200*time.Second)
@@ -37,14 +37,14 @@
 	return returned(w) - before
 }
 
-func TestAnOverloadedOwnerGivesNoSilentMachineBack(t *testing.T) {
+func TestOverloadedOwnerReturnsNoSilentMachine(t *testing.T) {
 	// One small owner of 6,000 machines turned reports away and returned 3,220 machines
 	// whose reports it had not taken.
-	assert.Zero(t, silentWorkers(t, 930, true))
-	assert.Positive(t, silentWorkers(t, 930, false), "without it they are silent for too long")
+	assert.Zero(t, returnedAfterSilence(t, 930, true))
+	assert.Positive(t, returnedAfterSilence(t, 930, false), "without it they are silent for too long")
 }
 
-func TestPartsWithoutAHomeGoToControllersThatOwnFewer(t *testing.T) {
+func TestShardsWithoutHomeMoveToControllersThatOwnFewer(t *testing.T) {
 	// All controllers are in zone a. One that was left alone for a while kept the machines
 	// of all zones for ever, while the others stood by.
 	w := gpuDay(t, 931, 8*time.Second, 40)
--- a/internal/fake/left_test.go
+++ b/internal/fake/starvation_test.go
@@ -11,7 +11,7 @@
 	"roadcleat/internal/model"
 )
 
-func TestRoomThatUrgentWorkCannotUseIsNotLeftToItForEver(t *testing.T) {
+func TestCapacityUnusableByUrgentWorkIsNotReservedForever(t *testing.T) {
 	cfg := Settings()
 	cfg.Teams[1] = core.Team{Name: "blue", Guarantee: model.Resources{Cores: 4}, Limit: model.Resources{Cores: 8}}
 	w := New(71, cfg)
@@ -33,7 +33,7 @@
 	ends(t, w, large, 15*time.Minute)
 }
 
-func TestABackfillJobBesideRoomThatIsKeptForOthersStartsSoon(t *testing.T) {
+func TestBackfillJobBesideReservedCapacityStartsSoon(t *testing.T) {
 	w := oneController(t, 72, func(c *core.Config) { *c = guests(*c) })
 	for k := range w.Cloud.Room {
 		w.Cloud.Room[k] = 0
@@ -50,7 +50,7 @@
 	assert.False(t, busy.Over())
 }
 
-func TestATaskMovedByAWriteWhoseAnswerIsLostIsNotForgotten(t *testing.T) {
+func TestTaskMovedByWriteWithLostAnswerIsNotForgotten(t *testing.T) {
 	cfg := Settings()
 	cfg.Zones = []string{"a", "b"}
 	w := NewWith(73, cfg, "a") // one owner of both parts
--- a/internal/fake/meet_users_test.go
+++ b/internal/fake/user_requests_test.go
@@ -15,8 +15,8 @@
 	"roadcleat/internal/model"
 )
 
-// sets says whether a transaction gives a job the standing: nothing for unfinished.
-func sets(txn core.Txn, id, state string) bool {
+// setsJobState says whether a transaction gives a job the standing: nothing for unfinished.
+func setsJobState(txn core.Txn, id, state string) bool {
 	for _, s := range txn.Mutations {
 		if s.Key == "job/"+id {
 			return strings.Contains(string(s.Value), `"st":"`) == (state != "") &&
@@ -31,7 +31,7 @@
 	"none":                  func(*World) {},
 	"owner restarts":        func(w *World) { w.Nodes[0].Restart(3 * time.Second) },
 	"owner back at once":    func(w *World) { w.Nodes[0].Restart(30 * time.Millisecond) },
-	"all restart":           func(w *World) { restartAll(w) },
+	"all restart":           func(w *World) { restartAllControllers(w) },
 	"store refuses one":     func(w *World) { w.Store.Refuse("node-0", 20*time.Second) },
 	"one alone":             func(w *World) { w.Isolate(w.Nodes[0], 15*time.Second, true) },
 	"one cut from peers":    func(w *World) { w.cutPeers(w.Nodes[0], 30*time.Second, false) },
@@ -40,14 +40,14 @@
 	"one refused, then all": func(w *World) { w.Store.Refuse("node-1", 14*time.Second); w.Store.Outage(5 * time.Second) },
 }
 
-func restartAll(w *World) {
+func restartAllControllers(w *World) {
 	for i, n := range w.Nodes {
 		n.Restart(time.Duration(i*400) * time.Millisecond)
 	}
 }
 
-// throughOddMoments plays half a minute of short jobs with a trouble in the middle.
-func throughOddMoments(t *testing.T, users func(w *World), check func(t *testing.T, w *World)) {
+// runThroughFaults plays half a minute of short jobs with a trouble in the middle.
+func runThroughFaults(t *testing.T, users func(w *World), check func(t *testing.T, w *World)) {
 	seed := uint64(100)
 	for _, name := range sortedKeys(oddMoments) {
 		seed++
@@ -73,8 +73,8 @@
 	}
 }
 
-// anyUp is a machine that is up, or nil.
-func anyUp(w *World) *Worker {
+// anyStartedWorker is a machine that is up, or nil.
+func anyStartedWorker(w *World) *Worker {
 	for _, name := range sortedKeys(w.Workers) {
 		if k := w.Workers[name]; k.started && !k.gone {
 			return k
@@ -83,7 +83,7 @@
 	return nil
 }
 
-func TestUsersThroughEveryTroubleThatTheWorldKnows(t *testing.T) {
+func TestUserRequestsThroughEveryFault(t *testing.T) {
 	for i, fault := range Faults {
 		t.Run(fault.Name, func(t *testing.T) {
 			t.Parallel()
@@ -94,7 +94,7 @@
 			for i := range 40 {
 				job := w.Submit(spec(fmt.Sprintf("job-%d", i), []string{"red", "blue"}[i%2], 1+i%3, 1), time.Duration(1+i%5)*time.Second)
 				w.Run(time.Second)
-				if at.Worker = anyUp(w); i >= 12 && !struck && at.Worker != nil {
+				if at.Worker = anyStartedWorker(w); i >= 12 && !struck && at.Worker != nil {
 					at.Job, struck = job, true
 					fault.Inject(w, at, (fault.Least+fault.Most)/2)
 				}
@@ -111,15 +111,15 @@
 	}
 }
 
-func TestCloseLooksNeverGetAnOlderAnswer(t *testing.T) {
-	throughOddMoments(t, func(w *World) { w.PollClosely(time.Minute, 0.3) }, func(t *testing.T, w *World) {
+func TestClosePollsNeverReturnOlderState(t *testing.T) {
+	runThroughFaults(t, func(w *World) { w.PollClosely(time.Minute, 0.3) }, func(t *testing.T, w *World) {
 		assert.Greater(t, w.Users.Polls, 500)
 		assert.Greater(t, w.Users.AtOnce, 3)
 	})
 }
 
-func TestOddRequestsAreAnsweredHonestlyInEveryTrouble(t *testing.T) {
-	throughOddMoments(t, func(w *World) { w.OddRequests(32 * time.Second) }, func(t *testing.T, w *World) {
+func TestOddRequestsAreAnsweredCorrectlyThroughFaults(t *testing.T) {
+	runThroughFaults(t, func(w *World) { w.OddRequests(32 * time.Second) }, func(t *testing.T, w *World) {
 		for what, n := range map[string]int{"repeats": w.Users.Repeats, "cancelled after the end": w.Users.Stopped,
 			"nobody's jobs": w.Users.Nobodys, "bad ones": w.Users.Bad} {
 			assert.Greater(t, n, 4, what)
@@ -127,16 +127,16 @@
 	})
 }
 
-// distract has all who follow the jobs hear of another one just now, so that they do not
+// changeUnrelatedJob has all who follow the jobs hear of another one just now, so that they do not
 // hear of the next change at once.
-func distract(w *World) {
+func changeUnrelatedJob(w *World) {
 	w.odd++
 	w.Store.apply(core.Txn{Mutations: []core.Mutation{{Key: fmt.Sprintf("job/job-%d", 700000+w.odd), Value: []byte(`{"s":{},"st":"done"}`)}}})
 }
 
-// lookApart asks some nodes and repeats the submission at the others, so that none
+// queryAndResubmitSeparately asks some nodes and repeats the submission at the others, so that none
 // learns by one what it should not have answered the other from.
-func lookApart(w *World, job *Job, odd, times int) {
+func queryAndResubmitSeparately(w *World, job *Job, odd, times int) {
 	count := func(status int) {
 		if status == 200 {
 			w.Users.Polls++
@@ -155,19 +155,19 @@
 	}
 }
 
-func TestOthersReadWhatATransactionWroteWhoseAnswerIsLost(t *testing.T) {
+func TestOtherControllersReadTransactionWithLostAnswer(t *testing.T) {
 	for i, state := range []string{"", "withdrawn", "withdrawn", "withdrawn", "done", "done", "done"} {
 		t.Run("job "+state, func(t *testing.T) {
 			w := day(t, 122)
 			w.Run(time.Duration(i) * 23 * time.Millisecond) // at another point of what recurs
 			lost := 0
 			w.Store.Lose = func(_ string, txn core.Txn) (bool, time.Duration) {
-				if lost > 0 || !sets(txn, "job-1", state) {
+				if lost > 0 || !setsJobState(txn, "job-1", state) {
 					return false, 0
 				}
 				lost++
-				distract(w)
-				lookApart(w, w.Jobs["job-1"], i, 40) // from this moment on
+				changeUnrelatedJob(w)
+				queryAndResubmitSeparately(w, w.Jobs["job-1"], i, 40) // from this moment on
 				return true, 0
 			}
 			job := w.Submit(spec("job-1", "red", 2, 2), 5*time.Second)
@@ -183,15 +183,15 @@
 	}
 }
 
-func TestQuestionsMeetTheEndOfAJobsLastTask(t *testing.T) {
+func TestQueriesDuringEndOfLastTask(t *testing.T) {
 	for seed := range uint64(6) {
 		w := day(t, 130+seed)
 		w.PollClosely(2*time.Minute, 0)
 		met := 0
 		w.Store.Lose = func(_ string, txn core.Txn) (bool, time.Duration) {
-			if sets(txn, "job-1", "done") {
+			if setsJobState(txn, "job-1", "done") {
 				met++
-				distract(w)
+				changeUnrelatedJob(w)
 			}
 			return false, 0
 		}
@@ -215,7 +215,7 @@
 	return slices.Sorted(maps.Keys(m))
 }
 
-func TestTheRefereeSeesWrongAnswersToUsers(t *testing.T) {
+func TestRefereeDetectsWrongAnswersToUsers(t *testing.T) {
 	w := New(1, Settings())
 	w.Jobs["job-1"] = &Job{Spec: spec("job-1", "red", 1, 1), Finished: map[int]bool{}}
 	w.Jobs["job-2"] = &Job{Spec: spec("job-2", "red", 1, 1), Finished: map[int]bool{}, Bad: true}
@@ -242,7 +242,7 @@
 	}
 }
 
-func TestASubmissionRepeatedWhereTheJobIsNotKnownYetGetsItsState(t *testing.T) {
+func TestResubmissionToUninformedControllerGetsJobState(t *testing.T) {
 	w := day(t, 140)
 	w.cutPeers(w.Nodes[0], 10*time.Minute, false)
 	met := 0
@@ -269,13 +269,13 @@
 	assert.Greater(t, met, 3)
 }
 
-func TestAJobIsNotDoneWhileItsTasksMoveBetweenTwoLooks(t *testing.T) {
+func TestJobIsNotDoneWhenTasksMoveBetweenAssignmentReads(t *testing.T) {
 	for seed := range uint64(8) { // whether the owner of a hears of the move before it writes
-		moveBetweenTwoLooks(t, 141+seed)
+		moveTaskBetweenReads(t, 141+seed)
 	}
 }
 
-func moveBetweenTwoLooks(t *testing.T, seed uint64) {
+func moveTaskBetweenReads(t *testing.T, seed uint64) {
 	// The owner of a complete slice looks at the others: at b's, which is complete, and
 	// then at c's, which is complete because its last task has just gone to b.
 	w := day(t, seed)
--- a/internal/fake/meet_workers_test.go
+++ b/internal/fake/worker_faults_test.go
@@ -19,9 +19,9 @@
 	return s
 }
 
-// idleMachines makes a day with a controller in each zone, where zone a has small
+// worldWithIdleMachines makes a day with a controller in each zone, where zone a has small
 // machines that are up, idle and kept.
-func idleMachines(t *testing.T, seed uint64, n int, zones ...string) *World {
+func worldWithIdleMachines(t *testing.T, seed uint64, n int, zones ...string) *World {
 	cfg := Settings()
 	cfg.Zones = zones
 	cfg.Tuning.ReturnSilentAfter, cfg.Tuning.KeepIdle = 10*time.Minute, 10*time.Minute
@@ -36,12 +36,12 @@
 	w.Run(3 * time.Second)
 	ends(t, w, w.Submit(plain("job-99", n), 3*time.Second), time.Minute)
 	w.Run(5 * time.Second)
-	require.GreaterOrEqual(t, len(alive(w, "a")), n)
+	require.GreaterOrEqual(t, len(aliveWorkers(w, "a")), n)
 	return w
 }
 
-// alive lists a zone's machines by name.
-func alive(w *World, zone string) []*Worker {
+// aliveWorkers lists a zone's machines by name.
+func aliveWorkers(w *World, zone string) []*Worker {
 	var out []*Worker
 	for _, name := range workersOf(w, zone) {
 		if k := w.Workers[name]; k.started && !k.gone {
@@ -66,9 +66,9 @@
 	return nil
 }
 
-// holdLaunch has the first launch of the job be under way for d, and says on which
+// delayLaunch has the first launch of the job be under way for d, and says on which
 // machine. The machine's next report leaves after quiet.
-func holdLaunch(w *World, job string, d, quiet time.Duration) func() *Worker {
+func delayLaunch(w *World, job string, d, quiet time.Duration) func() *Worker {
 	var at *Worker
 	w.DelayOnWire = func(worker *Worker, what any) time.Duration {
 		if at != nil || !isLaunchOf(what, job) {
@@ -80,7 +80,7 @@
 	return func() *Worker { return at }
 }
 
-func TestALaunchHeldUpUntilLongAfterACancellationStartsNothing(t *testing.T) {
+func TestLaunchDelayedBeyondCancellationBoundStartsNothing(t *testing.T) {
 	// Whether the task had been shown or not when it was cancelled: the worker then
 	// refuses the launch for its token, or knows the attempt and ignores it.
 	for _, c := range []struct {
@@ -89,8 +89,8 @@
 		starts int
 	}{{"never shown", 6 * time.Second, 0}, {"started by an answer", 0, 1}} {
 		t.Run(c.name, func(t *testing.T) {
-			w := idleMachines(t, 101, 2, "a")
-			at := holdLaunch(w, "job-1", w.Cfg.CancelWithin+30*time.Second, c.quiet)
+			w := worldWithIdleMachines(t, 101, 2, "a")
+			at := delayLaunch(w, "job-1", w.Cfg.CancelWithin+30*time.Second, c.quiet)
 			job := w.Submit(plain("job-1", 1), 5*time.Minute)
 			require.True(t, w.Until(10*time.Second, func() bool { return at() != nil }), "a launch is held up")
 			sent := w.Now
@@ -106,8 +106,8 @@
 	}
 }
 
-func TestAGangStoppedWhileALaunchIsHeldUpStartsOnce(t *testing.T) {
-	w := idleMachines(t, 102, 5, "a")
+func TestGangStoppedDuringDelayedLaunchStartsOnce(t *testing.T) {
+	w := worldWithIdleMachines(t, 102, 5, "a")
 	var held, unreached *Worker
 	w.DelayOnWire = func(worker *Worker, what any) time.Duration {
 		switch {
@@ -122,7 +122,7 @@
 	s.Gang = true
 	// One of its machines can't be reached: its task is free at once, and the gang is
 	// stopped as a whole.
-	unreached = alive(w, "a")[0]
+	unreached = aliveWorkers(w, "a")[0]
 	w.Cut("node-0", unreached.name, 1800*time.Millisecond, false)
 	job := w.Submit(s, 20*time.Second)
 	require.True(t, w.Until(15*time.Second, started(w, "job-1", 2)))
@@ -133,10 +133,10 @@
 	assert.Equal(t, 2, job.Starts)
 }
 
-func TestCopiesOfAnEarlierSessionKeptForTheNextLeaderSettleNothing(t *testing.T) {
-	w := idleMachines(t, 103, 4, "a", "b", "c")
+func TestHeartbeatsOfEarlierIncarnationsDecideNothingForNewLeader(t *testing.T) {
+	w := worldWithIdleMachines(t, 103, 4, "a", "b", "c")
 	first := map[*Worker]core.WorkerStatus{}
-	for _, worker := range alive(w, "a") {
+	for _, worker := range aliveWorkers(w, "a") {
 		first[worker] = worker.status()
 		w.Cut("node-0", worker.name, w.Cfg.WorkerLease+2*time.Second, false)
 		w.Cut("node-1", worker.name, w.Cfg.WorkerLease+2*time.Second, false)
@@ -177,11 +177,11 @@
 	assert.Equal(t, 2, job.Starts, "what ran was left alone")
 }
 
-func TestANewLeaderLaunchesNothingThatItInherited(t *testing.T) {
+func TestNewLeaderDoesNotLaunchInheritedPlacement(t *testing.T) {
 	// The leader ends between a placement and its launch. The next one's first answer
 	// is under way for 3 s; before that the machine shows its token and not the task,
 	// which is free to start elsewhere then.
-	w := idleMachines(t, 104, 1, "a")
+	w := worldWithIdleMachines(t, 104, 1, "a")
 	node := w.Nodes[0]
 	big := func(id string, tasks int, cores float64) model.JobSpec {
 		s := plain(id, tasks)
@@ -194,7 +194,7 @@
 	var at *Worker
 	w.Store.OnExecuted = append(w.Store.OnExecuted, func(_ string, txn core.Txn, _ core.CommitResult) {
 		for _, s := range txn.Mutations {
-			for _, worker := range alive(w, "a") {
+			for _, worker := range aliveWorkers(w, "a") {
 				if at == nil && s.Key == "slice/a/job-1" && strings.Contains(string(s.Value), worker.name) {
 					at = worker
 					node.Restart(50 * time.Millisecond)
@@ -225,11 +225,11 @@
 	assert.Equal(t, 1, job.Starts)
 }
 
-func TestAMachineReturnedStaysReturnedWhateverCopiesCome(t *testing.T) {
+func TestReturnedMachineStaysReturnedAfterLateHeartbeats(t *testing.T) {
 	w := oneController(t, 105, nil)
 	ends(t, w, w.Submit(plain("job-1", 2), 3*time.Second), time.Minute)
 	late := map[*Worker]core.WorkerStatus{}
-	for _, k := range alive(w, "a") {
+	for _, k := range aliveWorkers(w, "a") {
 		late[k] = k.status()
 	}
 	require.True(t, w.Until(2*time.Minute, allGone(w)))
@@ -242,8 +242,8 @@
 	}
 }
 
-func TestALeaderAloneStepsDownAtItsWorkersWordAndTheyKeepTheirLeases(t *testing.T) {
-	w := idleMachines(t, 106, 3, "a", "b", "c")
+func TestIsolatedLeaderStepsDownAndWorkersKeepLeases(t *testing.T) {
+	w := worldWithIdleMachines(t, 106, 3, "a", "b", "c")
 	job := w.Submit(plain("job-1", 3), time.Minute)
 	require.True(t, w.Until(10*time.Second, started(w, "job-1", 3)))
 	w.Isolate(w.Nodes[0], 50*time.Second, false)
@@ -258,11 +258,11 @@
 	assert.Equal(t, 3, job.Starts, "nothing had to run again")
 }
 
-func TestALateWriteChangesNothingOnceANewerOneOfTheSameControllerWas(t *testing.T) {
+func TestLateWriteIsRefusedAfterNewerWriteOfSameController(t *testing.T) {
 	// Its answer never comes, the key is read, the controller writes anew; seconds
 	// later the first transaction is carried out.
 	placement := func(x core.Txn) bool {
-		return changes(x, "slice/a/job-1") && placesAny(x)
+		return changes(x, "slice/a/job-1") && placesTasks(x)
 	}
 	state := func(of string) func(core.Txn) bool {
 		return func(x core.Txn) bool {
@@ -303,11 +303,11 @@
 	}
 }
 
-func TestTheSmallestGrantAskedForIsWhatAPartReliesOn(t *testing.T) {
+func TestShardReliesOnSmallestGrantRequested(t *testing.T) {
 	// In an outage a part asks twice to give back: first all it has, then, with two
 	// tasks planned that can't be written, the rest. Neither is carried out; a copy of
 	// the first is, after the tasks have started. Another part wants all there is.
-	w := idleMachines(t, 117, 2, "a", "b")
+	w := worldWithIdleMachines(t, 117, 2, "a", "b")
 	blue := func(id string, zone string, tasks int) model.JobSpec {
 		s := plain(id, tasks)
 		s.Team, s.Zone = "blue", zone
@@ -316,7 +316,7 @@
 	whole := w.Submit(blue("job-98", "a", 2), 6*time.Second)
 	require.True(t, w.Until(time.Minute, func() bool { return len(whole.Finished) == 2 }))
 	w.Cloud.Room = map[string]int{}
-	full := w.Submit(plain("job-1", len(alive(w, "a"))), 4*time.Second)
+	full := w.Submit(plain("job-1", len(aliveWorkers(w, "a"))), 4*time.Second)
 	require.True(t, w.Until(10*time.Second, started(w, "job-1", full.Spec.Tasks)))
 	job := w.Submit(blue("job-2", "a", 2), time.Minute)
 	require.True(t, w.Until(time.Second, func() bool { return job.Accepted }))
@@ -348,7 +348,7 @@
 	ends(t, w, job, 2*time.Minute)
 }
 
-func TestWordOfAnotherPlacementOfTheSameAttemptConfirmsNothing(t *testing.T) {
+func TestMessageAboutDifferentPlacementConfirmsNothing(t *testing.T) {
 	// An owner books a task; before its transaction is answered it is told of a value
 	// of the slice in which the same attempt is on another machine, or another attempt
 	// on the same one. Neither is the placement that it asked for.
@@ -360,15 +360,15 @@
 		{"another attempt", func(host string) string { return `{"p":[{"i":0,"h":"` + host + `","a":2}],"n":2}` }},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			w := idleMachines(t, 118, 2, "a", "b")
+			w := worldWithIdleMachines(t, 118, 2, "a", "b")
 			node, key, told := w.Nodes[0], "slice/a/job-1", false
 			w.Store.Lose = func(_ string, txn core.Txn) (bool, time.Duration) {
-				if told || !changes(txn, key) || !placesAny(txn) {
+				if told || !changes(txn, key) || !placesTasks(txn) {
 					return false, 0
 				}
 				told = true
 				host := ""
-				for _, worker := range alive(w, "a") {
+				for _, worker := range aliveWorkers(w, "a") {
 					if strings.Contains(string(txn.Mutations[len(txn.Mutations)-1].Value), worker.name) {
 						host = worker.name
 					}
--- a/internal/fake/zones_test.go
+++ b/internal/fake/zones_test.go
@@ -13,7 +13,7 @@
 	"roadcleat/internal/model"
 )
 
-func TestABurstOnALargePartHasCheapMachinesHiredAtOnce(t *testing.T) {
+func TestBurstOnLargeShardRentsSpotMachinesAtOnce(t *testing.T) {
 	// A rule that hired for queues only that outlast half a boot had bursts of
 	// urgent work wait on swanlic-wa-grown's inc-024c: the next of the burst came
 	// when no machine was on its way.
@@ -31,7 +31,7 @@
 	ends(t, w, long, 30*time.Second)
 }
 
-func TestWorkLeavesAZoneThatIsCutOff(t *testing.T) {
+func TestTasksLeaveIsolatedZone(t *testing.T) {
 	w := day(t, 42)
 	for kind := range w.Cloud.Room {
 		if strings.Contains(kind, "/a/") {
@@ -75,7 +75,7 @@
 	}
 }
 
-func TestAJobOfManyZonesFitsATransaction(t *testing.T) {
+func TestJobAcrossManyZonesFitsTransactionLimit(t *testing.T) {
 	cfg := Settings()
 	cfg.Zones, cfg.MaxTxnOps = nil, 4
 	for i := range 9 {
@@ -93,7 +93,7 @@
 	}
 }
 
-func TestTasksMoveToAPartThatCanStillHireCheapMachines(t *testing.T) {
+func TestTasksMoveToShardThatCanRentSpotMachines(t *testing.T) {
 	// Jobs go where machines are; on swanlic-wa-fleet two zones hired hundreds of
 	// dear machines while most cheap ones of the third were never rented.
 	cfg := Settings()
@@ -144,86 +144,3 @@
 
 	assert.Less(t, ordinary(), 80, "dear machines here while cheap ones are to be had there")
 }
-
-func TestOneOwnerOfSeveralPartsGivesItsOwnGrantsBack(t *testing.T) {
-	// Found by random days with more zones than controllers: the part that waited
-	// had the grants read every second just when the other one, idle and of the
-	// same owner, would have given its own back.
-	cfg := Settings()
-	cfg.Zones = []string{"a", "b", "c", "d"}
-	w := NewWith(48, cfg, "a")
-	t.Cleanup(func() { assert.Empty(t, w.Referee.Broken, "rules") })
-	for k := range w.Cloud.Room {
-		w.Cloud.Room[k] = 6
-	}
-	w.Run(10 * time.Second)
-	one := func(n int, zone string, tasks int, run time.Duration) *Job {
-		s := spec(fmt.Sprintf("job-%d", n), "blue", tasks, 4) // of 16 cores
-		s.Zone = zone
-		return w.Submit(s, run)
-	}
-	n := 0
-	for _, zone := range []string{"b", "c", "d", "a", "d", "c", "b", "a"} {
-		n++
-		first := one(n, zone, 3, 5*time.Second)
-		ends(t, w, first, time.Minute)
-		n++
-		ends(t, w, one(n, map[string]string{"a": "b", "b": "a", "c": "d", "d": "c"}[zone], 4, 5*time.Second), 25*time.Second)
-	}
-}
-
-func TestAPlanForAJobThatIsWithdrawnMeanwhileHoldsNothing(t *testing.T) {
-	// Found by a random day: the owner could write nothing for a moment, planned a
-	// job and heard of its withdrawal. The room it had booked stayed booked, and the
-	// team's other work waited for ever.
-	w := oneController(t, 51, nil)
-	w.Submit(spec("job-1", "red", 4, 4), 2*time.Second)
-	require.True(t, w.Until(time.Minute, started(w, "job-1", 4)))
-	lost := 0
-	w.Store.Lose = func(_ string, txn core.Txn) (bool, time.Duration) {
-		for _, s := range txn.Mutations {
-			if strings.HasPrefix(s.Key, "slice/") && strings.HasSuffix(s.Key, "/job-1") && lost == 0 {
-				lost++
-				return true, 0 // applied, and the answer is lost
-			}
-		}
-		return false, 0
-	}
-	require.True(t, w.Until(20*time.Second, func() bool { return lost > 0 }))
-	cancelled := w.Submit(spec("job-2", "blue", 4, 4), time.Minute) // all of blue's limit
-	w.Run(400 * time.Millisecond)
-	w.Cancel(cancelled)
-	ends(t, w, cancelled, 10*time.Second)
-	w.Run(5 * time.Second)
-	assert.Empty(t, w.Nodes[0].Core.DescribePlacements())
-	ends(t, w, w.Submit(spec("job-3", "blue", 4, 4), 5*time.Second), time.Minute)
-}
-
-func TestAGrantThatWasNotGivenBackMayStillBe(t *testing.T) {
-	// Found by a random day: a give-back was refused in an outage, and a copy of it
-	// was carried out when the outage was over, after tasks had started under the
-	// whole grant. Another part took what they used.
-	w := oneController(t, 52, nil)
-	ends(t, w, w.Submit(spec("job-1", "blue", 4, 4), 2*time.Second), time.Minute)
-	held := func() string { return string(w.Store.rows["quota/blue"].value) }
-	const whole = `{"a":{"c":16,"g":0}}`
-	require.Equal(t, whole, held())
-	given := 0
-	w.RepeatRequest = func(_ string, op core.Operation) time.Duration {
-		if c, ok := op.(core.CommitTxn); ok && len(c.Txn.Mutations) == 1 && c.Txn.Mutations[0].Key == "quota/blue" {
-			given++
-			return 25 * time.Second
-		}
-		return 0
-	}
-	w.Run(4 * time.Second)
-	w.Store.Outage(7 * time.Second)
-	w.Run(8 * time.Second)
-	require.Positive(t, given, "it was to be given back in the outage")
-	require.Equal(t, whole, held())
-	job := w.Submit(spec("job-2", "blue", 4, 4), time.Minute)
-	require.True(t, w.Until(12*time.Second, started(w, "job-2", 4)))
-	w.Run(20 * time.Second)
-	assert.Contains(t, held(), `{"a":{"c":16`, "what runs is granted, whatever came late")
-	ends(t, w, job, 2*time.Minute)
-}
