--- a/internal/fake/gossip_volume_test.go
+++ b/internal/fake/gossip_volume_test.go
@@ -13,7 +13,7 @@
 	"roadcleat/internal/model"
 )
 
-// byteCounter counts what gob makes of messages.
+// byteCounter counts the bytes written to it.
 type byteCounter int
 
 func (n *byteCounter) Write(b []byte) (int, error) {
@@ -21,16 +21,18 @@
 	return len(b), nil
 }
 
+// Seven controllers take four small jobs a second, of which a quarter is cancelled. The test
+// measures the gossip and checks how often a cancellation is repeated to each controller.
 func TestGossipVolumeWithAQuarterOfSmallJobsCancelled(t *testing.T) {
 	cfg := Settings()
 	cfg.Teams[0].Limit = model.Resources{Cores: 400}
 	w := NewWith(120, cfg, "a", "b", "c", "a", "b", "c", "a")
 	t.Cleanup(func() { assert.Empty(t, w.Referee.Broken, "rules") })
-	for k := range w.Cloud.Room {
-		w.Cloud.Room[k] = 20
+	for kind := range w.Cloud.Room {
+		w.Cloud.Room[kind] = 20
 	}
 	w.Run(5 * time.Second)
-	var repeated, told int
+	var repeated, cancelled int
 	var all, cancellations byteCounter
 	allSent, cancellationsSent := gob.NewEncoder(&all), gob.NewEncoder(&cancellations)
 	w.OnPeerMessage = func(_, _ string, m core.Message) {
@@ -44,22 +46,23 @@
 	var jobs []*Job
 	const minutes = 3
 	for i := range minutes * 60 * 4 {
-		s := spec(fmt.Sprintf("job-%d", i), "red", 1, 2)
-		job := w.Submit(s, 12*time.Second)
+		job := w.Submit(spec(fmt.Sprintf("job-%d", i), "red", 1, 2), 12*time.Second)
 		jobs = append(jobs, job)
 		if i%4 == 0 {
 			w.After(time.Duration(w.Rng.IntN(15000))*time.Millisecond, func() { w.Cancel(job) })
 		}
 		w.Run(250 * time.Millisecond)
 	}
-	for _, j := range jobs {
-		ends(t, w, j, 2*time.Minute)
-		if j.Told == model.JobCancelled {
-			told++
+	for _, job := range jobs {
+		ends(t, w, job, 2*time.Minute)
+		if job.Told == model.JobCancelled {
+			cancelled++
 		}
 	}
-	t.Logf("%d cancelled; each repeated %.1f times to each other controller; gossip %d bytes/s a controller, %d of it withdrawals",
-		told, float64(repeated)/float64(told*7*6), int(all)/7/(minutes*60), int(cancellations)/7/(minutes*60))
-	assert.Greater(t, told, minutes*60*3/4, "a quarter is cancelled")
-	assert.Less(t, float64(repeated)/float64(told*7*6), 4.0, "repeated until it has been heard")
+	repeats := float64(repeated) / float64(cancelled*7*6) // to each of six others, by each of seven
+	t.Logf("%d cancelled; each repeated %.1f times to each other controller; "+
+		"gossip %d bytes/s for each controller, %d of them cancellations",
+		cancelled, repeats, int(all)/7/(minutes*60), int(cancellations)/7/(minutes*60))
+	assert.Greater(t, cancelled, minutes*60*3/4, "about a quarter of the jobs is cancelled")
+	assert.Less(t, repeats, 4.0, "a cancellation is repeated only until it has been received")
 }
