--- a/internal/core/workers.go
+++ b/internal/core/workerprotocol.go
@@ -2,9 +2,12 @@
 
 import (
 	"fmt"
+
 	"roadcleat/internal/model"
 )
 
+// The core's view of the worker protocol: what workers report and what they are told.
+
 // TaskState is the state of a task on a machine, as its worker reports it. The zero value
 // means that the worker has not reported the task yet.
 type TaskState int
@@ -15,7 +18,7 @@
 	TaskWaitingForGang                      // has its image and waits for the rest of its gang
 	TaskRunning
 	TaskSaving // was told to stop and saves a checkpoint
-	TaskExited // has ended, see ExitCause
+	TaskExited // see ExitCause
 )
 
 // String describes the state for operators.
@@ -76,7 +79,7 @@
 	Attempt uint64
 	State   TaskState
 	Cause   ExitCause // of a task that has exited
-	Saved   bool      // its progress was saved when it was stopped
+	Saved   bool      // it saved a checkpoint when it was stopped
 }
 
 // WorkerStatus is what a worker reports in a heartbeat, or in its answer to commands.
@@ -99,7 +102,7 @@
 // Verbs of a command.
 const (
 	VerbLaunch Verb = iota + 1 // start a task
-	VerbStop                   // stop it, with time to save
+	VerbStop                   // stop a task, with a grace period to save
 	VerbForget                 // drop an exited task from the worker's status
 )
 
@@ -121,5 +124,5 @@
 	Verb        Verb
 	Task        model.TaskID
 	Attempt     uint64
-	GracePeriod float64 // seconds that a task gets to save when it is stopped
+	GracePeriod float64 // seconds for the task to save a checkpoint when it is stopped
 }
