--- a/internal/core/status.go
+++ b/internal/core/status.go
@@ -1,12 +1,13 @@
 package core
 
 import (
-	"roadcleat/internal/model"
 	"time"
+
+	"roadcleat/internal/model"
 )
 
-// Status is what operators are shown of a controller. It is a copy: reading it
-// costs the owner goroutine one short walk and the state service nothing.
+// Status is what operators are shown of a controller. It is a copy of what the controller has
+// in memory; no calls are made for it.
 type Status struct {
 	Label        string          `json:"label"`
 	Zone         string          `json:"zone"`
@@ -24,18 +25,19 @@
 	Stats        Stats           `json:"stats"`
 }
 
-// DataAge is how old a view is, in seconds; negative when there is none.
+// DataAge is the age of what is known of an outside service. It is negative when nothing is
+// known.
 type DataAge struct {
 	AgeSeconds float64 `json:"age_s"`
 }
 
-// DegradedMode is a mode other than the ordinary one.
+// DegradedMode is a fault that limits what the controller does, and since when.
 type DegradedMode struct {
 	Mode         string  `json:"mode"`
 	SinceSeconds float64 `json:"since_s"`
 }
 
-// ShardStatus is a part as known here.
+// ShardStatus is a shard as known here.
 type ShardStatus struct {
 	Zone      string      `json:"zone"`
 	Owner     string      `json:"owner"`
@@ -56,7 +58,7 @@
 	Count int    `json:"count"`
 }
 
-// TeamStatus is a team's use in all parts, as far as known here.
+// TeamStatus is a team's use in all shards, as far as known here.
 type TeamStatus struct {
 	Team          string  `json:"team"`
 	Cores         float64 `json:"cores"`
@@ -67,15 +69,15 @@
 	GPUsLimit     float64 `json:"cards_limit"`
 }
 
-// ClassCount counts the tasks of a class in the parts owned here.
+// ClassCount counts the tasks of a class in the shards owned here.
 type ClassCount struct {
 	Class   string `json:"class"`
 	Waiting int    `json:"waiting"`
 	Running int    `json:"running"`
 }
 
-// SuspectJob is a job whose tasks fail on every machine, as one does that was
-// submitted with a mistake.
+// SuspectJob is a job whose tasks fail on every machine, as of one that was submitted with a
+// mistake.
 type SuspectJob struct {
 	Job              string   `json:"job"`
 	Team             string   `json:"team"`
@@ -97,82 +99,136 @@
 
 // Status describes the controller.
 func (c *Core) Status() Status {
-	s := Status{Label: c.cfg.Label, Zone: c.cfg.Zone, Healthy: c.Healthy(), Stats: c.stats,
-		StateService: DataAge{-1}, Cloud: DataAge{-1}}
-	if f, ok := c.cancellationsKnownUntil(); ok {
-		s.StateService.AgeSeconds = seconds(c.now - f)
+	s := Status{
+		Label:        c.cfg.Label,
+		Zone:         c.cfg.Zone,
+		Healthy:      c.Healthy(),
+		StateService: DataAge{-1},
+		Cloud:        DataAge{-1},
+		Degraded:     c.degradedModes(),
+		Classes:      c.classCounts(),
+		Queues:       c.queues(),
+		Services:     c.services(""),
+		SuspectJobs:  c.suspectJobs(),
+		Stats:        c.stats,
+	}
+	if known, ok := c.cancellationsKnownUntil(); ok {
+		s.StateService.AgeSeconds = seconds(c.now - known)
 	}
 	if c.catalogReadAt > 0 {
 		s.Cloud.AgeSeconds = seconds(c.now - c.cloudOKAt)
 	}
-	s.Degraded = c.degradedModes()
-	waiting, running := map[int]int{}, map[int]int{}
 	for _, shard := range c.shards {
-		ps := ShardStatus{Zone: shard.name, Owner: shard.claim.Owner(), Token: shard.claim.Revision(), OwnedHere: shard.claim.Owned(), Loaded: shard.loaded}
-		if !shard.claim.Owned() && shard.view != nil {
-			for _, h := range shard.view.Hosts {
-				state := "up"
-				if h.ReadyInSeconds > 0 {
-					state = "booting"
-				}
-				ps.addHosts(h.Type, h.Spot, state, h.Count)
-			}
+		s.Shards = append(s.Shards, c.shardStatus(shard))
+	}
+	for i, team := range c.teamConfigs {
+		usage := c.teamUsage(i)
+		s.Teams = append(s.Teams, TeamStatus{
+			Team:          team.Name,
+			Cores:         usage.Cores,
+			Guarantee:     team.Guarantee.Cores,
+			Limit:         team.Limit.Cores,
+			GPUs:          usage.GPUs,
+			GPUsGuarantee: team.Guarantee.GPUs,
+			GPUsLimit:     team.Limit.GPUs,
+		})
+	}
+	for _, peer := range c.peers {
+		status := PeerStatus{Label: peer.Label, AgeSeconds: -1}
+		if peer.gossip != nil {
+			status.AgeSeconds, status.StateServiceOK = seconds(c.now-peer.gossipAt), peer.gossip.StoreOK
 		}
-		for _, host := range shard.hostList() {
-			typ := "unknown"
-			if host.typeIndex >= 0 {
-				typ = c.types[host.typeIndex].Name
+		s.Peers = append(s.Peers, status)
+	}
+	return s
+}
+
+// shardStatus describes a shard: the machines and work of one that is owned here, else the
+// machines of which its owner's gossip tells.
+func (c *Core) shardStatus(shard *Shard) ShardStatus {
+	status := ShardStatus{
+		Zone:      shard.name,
+		Owner:     shard.claim.Owner(),
+		Token:     shard.claim.Revision(),
+		OwnedHere: shard.claim.Owned(),
+		Loaded:    shard.loaded,
+	}
+	if !shard.claim.Owned() && shard.view != nil {
+		for _, group := range shard.view.Hosts {
+			state := "up"
+			if group.ReadyInSeconds > 0 {
+				state = "booting"
 			}
-			ps.addHosts(typ, host.spot, host.stateName(c.now), 1)
+			status.addHosts(group.Type, group.Spot, state, group.Count)
+		}
+	}
+	for _, host := range shard.hostList() {
+		status.addHosts(c.typeName(host), host.spot, host.stateName(c.now), 1)
+	}
+	for _, assignment := range shard.assignments {
+		if assignment.job.state == model.JobPending {
+			status.Jobs++
+			status.Waiting += assignment.waiting.Count()
+			status.Running += len(assignment.tasks)
 		}
+	}
+	return status
+}
+
+// classCounts counts the tasks of each class that has some in the shards owned here.
+func (c *Core) classCounts() []ClassCount {
+	byClass := make([]ClassCount, len(c.classes.names))
+	for _, shard := range c.shards {
 		for _, assignment := range shard.assignments {
-			if assignment.job.state != model.JobPending {
-				continue
+			if assignment.job.state == model.JobPending {
+				count := &byClass[assignment.job.class]
+				count.Waiting += assignment.waiting.Count()
+				count.Running += len(assignment.tasks)
 			}
-			ps.Jobs++
-			w, r := assignment.waiting.Count(), len(assignment.tasks)
-			ps.Waiting += w
-			ps.Running += r
-			waiting[assignment.job.class] += w
-			running[assignment.job.class] += r
 		}
-		s.Shards = append(s.Shards, ps)
 	}
-	for t, l := range c.teamConfigs {
-		s.Teams = append(s.Teams, TeamStatus{l.Name, c.teamUsage(t).Cores, l.Guarantee.Cores, l.Limit.Cores,
-			c.teamUsage(t).GPUs, l.Guarantee.GPUs, l.Limit.GPUs})
-	}
-	for i, name := range c.classes.names {
-		if waiting[i]+running[i] > 0 {
-			s.Classes = append(s.Classes, ClassCount{name, waiting[i], running[i]})
+	var counts []ClassCount
+	for i, count := range byClass {
+		if count.Waiting+count.Running > 0 {
+			count.Class = c.classes.names[i]
+			counts = append(counts, count)
 		}
 	}
-	s.Queues, s.Services = c.queues(), c.services("")
+	return counts
+}
+
+// suspectJobs lists the suspect jobs by name.
+func (c *Core) suspectJobs() []SuspectJob {
+	var jobs []SuspectJob
 	for _, id := range sorted(c.jobs) {
-		if j := c.jobs[id]; j.failedTrials > 0 {
-			s.SuspectJobs = append(s.SuspectJobs, SuspectJob{id, j.spec.Team, j.spec.Class, j.failures, j.failedHosts(), seconds(max(j.nextTrialAt-c.now, 0))})
+		job := c.jobs[id]
+		if job.failedTrials == 0 {
+			continue
 		}
+		jobs = append(jobs, SuspectJob{
+			Job:              id,
+			Team:             job.spec.Team,
+			Class:            job.spec.Class,
+			Failures:         job.failures,
+			Hosts:            job.failedHosts(),
+			NextTrialSeconds: seconds(max(job.nextTrialAt-c.now, 0)),
+		})
 	}
-	for _, peer := range c.peers {
-		ps := PeerStatus{Label: peer.Label, AgeSeconds: -1}
-		if peer.gossip != nil {
-			ps.AgeSeconds, ps.StateServiceOK = seconds(c.now-peer.gossipAt), peer.gossip.StoreOK
-		}
-		s.Peers = append(s.Peers, ps)
-	}
-	return s
+	return jobs
 }
 
-func (p *ShardStatus) addHosts(typ string, spot bool, state string, n int) {
-	for i := range p.Hosts {
-		if h := &p.Hosts[i]; h.Type == typ && h.Spot == spot && h.State == state {
-			h.Count += n
+// addHosts counts machines, together with those that are alike.
+func (s *ShardStatus) addHosts(typ string, spot bool, state string, n int) {
+	for i := range s.Hosts {
+		if group := &s.Hosts[i]; group.Type == typ && group.Spot == spot && group.State == state {
+			group.Count += n
 			return
 		}
 	}
-	p.Hosts = append(p.Hosts, HostCount{typ, spot, state, n})
+	s.Hosts = append(s.Hosts, HostCount{typ, spot, state, n})
 }
 
+// stateName is the machine's state for operators.
 func (h *Host) stateName(now time.Duration) string {
 	switch {
 	case h.state == hostBooting:
@@ -197,31 +253,33 @@
 
 // degradedModes lists the modes in force and since when.
 func (c *Core) degradedModes() []DegradedMode {
-	var out []DegradedMode
-	add := func(mode string, since float64) { out = append(out, DegradedMode{mode, since}) }
+	var modes []DegradedMode
+	add := func(mode string, since time.Duration) {
+		modes = append(modes, DegradedMode{mode, seconds(c.now - since)})
+	}
 	if !c.storeReachable() && c.storeBadSince > 0 {
-		add("state service out of reach", seconds(c.now-c.storeBadSince))
+		add("state service out of reach", c.storeBadSince)
 	}
-	f, ok := c.cancellationsKnownUntil()
+	knownUntil, known := c.cancellationsKnownUntil()
 	if !c.mayStartTasks() {
-		add("starting nothing: withdrawals might be missed", seconds(c.now-f))
+		add("starting nothing: withdrawals might be missed", knownUntil)
 	}
-	if ok && !c.mayAnswerWorkers() {
-		add("not answering workers: withdrawals might be missed", seconds(c.now-f))
+	if known && !c.mayAnswerWorkers() {
+		add("not answering workers: withdrawals might be missed", knownUntil)
 	}
 	if c.cloudBadSince > 0 {
-		add("cloud out of reach", seconds(c.now-c.cloudBadSince))
+		add("cloud out of reach", c.cloudBadSince)
 	}
 	if c.now < c.isolatedUntil {
-		add("workers not heard; a part was handed over", seconds(c.now-(c.isolatedUntil-isolatedFor)))
+		add("workers not heard; a part was handed over", c.isolatedUntil-isolatedFor)
 	}
 	for _, shard := range c.shards {
 		if shard.claim.Known() && shard.claim.Owner() == "" {
-			add("part "+shard.name+" has no owner", seconds(c.now-shard.claim.FreeSince()))
+			add("part "+shard.name+" has no owner", shard.claim.FreeSince())
 		}
 		if shard.claim.Owned() && !c.knowsCancellations(shard) {
-			add("not answering workers of part "+shard.name+": its slices are not read", seconds(c.now-shard.unloadedSince))
+			add("not answering workers of part "+shard.name+": its slices are not read", shard.unloadedSince)
 		}
 	}
-	return out
+	return modes
 }
