--- a/internal/core/hostreturns.go
+++ b/internal/core/hostreturns.go
@@ -12,15 +12,15 @@
 	// silent as it is, before it is returned. A listing may be old, so a machine's absence
 	// proves nothing: the answer to the return does.
 	maxMissedListings = 2
-	// minSilentHosts is how many machines must be silent or unreachable together, and the
-	// majority, for this controller to take itself to be cut off.
+	// minSilentHosts is how many machines, and more than half of them, must be silent or
+	// unreachable at once for isCutOff.
 	minSilentHosts = 3
-	// silentIntervals is how many heartbeat intervals without one make a machine silent
-	// where the share of silent machines is concerned.
+	// silentIntervals is after how many heartbeat intervals a machine is silent in isCutOff.
 	silentIntervals = 2
-	// loadedIntervals is how many heartbeat intervals a new owner gives its machines.
+	// loadedIntervals is for how many heartbeat intervals after loading a shard its new
+	// owner allows machines the longer silence, see silenceLimit.
 	loadedIntervals = 3
-	// leaseGrace is beyond a worker's lease, when machines must count as silent late.
+	// leaseGrace is added to the workers' lease in the longer limit of silenceLimit.
 	leaseGrace = 15 * time.Second
 	// heartbeatMargin is how late a heartbeat may be beyond a quarter of its interval.
 	heartbeatMargin = time.Second
--- a/internal/core/whymissing.go
+++ b/internal/core/whymissing.go
@@ -14,7 +14,9 @@
 // whyMissing gives the reason why some of an assignment's tasks do not run, and its text: what
 // the waiting ones wait for, else what those that are placed wait for. nextUp is the shard's
 // nextHostsUp.
-func (c *Core) whyMissing(shard *Shard, assignment *Assignment, counts TaskCounts, nextUp map[int]*Host) (Reason, string) {
+func (c *Core) whyMissing(
+	shard *Shard, assignment *Assignment, counts TaskCounts, nextUp map[int]*Host,
+) (Reason, string) {
 	switch {
 	case counts.Waiting > 0:
 		return c.whyWaiting(shard, assignment, nextUp)
@@ -64,7 +66,8 @@
 	case len(shard.unknownKeys) > 0:
 		return plain(ReasonOutcomeUnknown)
 	case job.failedTrials > 0:
-		return ReasonSuspectJob, fmt.Sprintf("its tasks fail on every machine (%d so far, last on %v), as if submitted with a mistake; one at a time is tried, the next in %.0f s",
+		return ReasonSuspectJob, fmt.Sprintf("its tasks fail on every machine (%d so far, last on %v), "+
+			"as if submitted with a mistake; one at a time is tried, the next in %.0f s",
 			job.failures, job.failedHosts(), seconds(max(job.nextTrialAt-c.now, 0)))
 	case limited && (!c.quotas[job.team].known || c.quotas[job.team].mustReread):
 		return plain(ReasonLimitUnknown)
@@ -107,7 +110,8 @@
 	}
 	switch {
 	case next != nil:
-		return ReasonBooting, fmt.Sprintf("no room; %s should be up in about %.0f s", next.name, seconds(max(next.expectedUpAt-c.now, 0)))
+		return ReasonBooting, fmt.Sprintf("no room; %s should be up in about %.0f s",
+			next.name, seconds(max(next.expectedUpAt-c.now, 0)))
 	case c.leavesReserve(assignment):
 		return ReasonHeldBack, ReasonHeldBack.String()
 	case len(shard.rentals) > 0:
