--- a/internal/core/ranking.go
+++ b/internal/core/ranking.go
@@ -2,130 +2,166 @@
 
 import (
 	"cmp"
-	"roadcleat/internal/model"
 	"slices"
 	"time"
+
+	"roadcleat/internal/model"
 )
 
-// A job that has waited so long for its first task goes ahead of all others, and
-// so does what is left of one that is older still: whatever the order, nothing
-// is starved by a stream of more urgent or smaller work.
+// Ages at which a job goes ahead of all others, so that no stream of more urgent or smaller
+// work starves it.
 const (
-	overdueUnstartedAfter = 170 * time.Second
-	overdueAfter          = 400 * time.Second
+	overdueUnstartedAfter = 170 * time.Second // of a job of which nothing has started
+	overdueAfter          = 400 * time.Second // of any job that is no backfill
 )
 
+// defaultDueSeconds is by when a job without objectives and deadline counts as due.
+const defaultDueSeconds = 600
+
 func (c *Core) isOverdue(assignment *Assignment) bool {
 	age := c.now - assignment.job.knownSince
-	return age > overdueAfter && !c.isBackfill(assignment.job) || age > overdueUnstartedAfter && len(assignment.tasks)+len(assignment.done) == 0
+	if age > overdueAfter && !c.isBackfill(assignment.job) {
+		return true
+	}
+	return age > overdueUnstartedAfter && len(assignment.tasks)+len(assignment.done) == 0
+}
+
+// rank is an assignment's place in the order in which assignments are planned.
+type rank struct {
+	assignment     *Assignment
+	overdue        bool
+	backfill       bool
+	underGuarantee bool    // its team uses less than its guarantee
+	startBy        float64 // see Core.startBy
+	missed         bool    // no objective or deadline can be met any more
 }
 
-// readyAssignments lists the slices with waiting tasks in the order they are served:
-// those that wait far too long first, backfill last, then by priority, teams within their
-// guarantee first, then by the time left to their aim or deadline. Jobs that can
-// no longer make it come after those that can: with more work than room, the
-// earliest deadline first would have all of them late by a little.
+// compare orders overdue assignments first and backfill last, then by priority, teams within
+// their guarantee first, then by the time left to the job's objective or deadline. Jobs that
+// can no longer meet theirs come after those that can: with more work than room, the
+// earliest deadline first would have all of them miss it by a little.
+func (r *rank) compare(other *rank) int {
+	job, otherJob := r.assignment.job, other.assignment.job
+	byPriority := 0
+	if !r.overdue && !other.overdue {
+		byPriority = cmp.Compare(job.spec.Priority, otherJob.spec.Priority)
+	}
+	return cmp.Or(
+		trueFirst(r.overdue, other.overdue),
+		trueFirst(other.backfill, r.backfill),
+		byPriority,
+		trueFirst(r.underGuarantee, other.underGuarantee),
+		trueFirst(other.missed, r.missed),
+		cmp.Compare(r.startBy, other.startBy),
+		cmp.Compare(job.id, otherJob.id),
+	)
+}
+
+// trueFirst compares two conditions; the one that is true comes first.
+func trueFirst(a, b bool) int {
+	switch {
+	case a == b:
+		return 0
+	case a:
+		return -1
+	}
+	return 1
+}
+
+// readyAssignments lists the assignments with waiting tasks in the order of their ranks.
 func (c *Core) readyAssignments(shard *Shard) []*Assignment {
-	var list []*Assignment
+	taskSlots := c.taskSlots(shard)
+	var ranks []*rank
 	for _, assignment := range shard.assignments {
-		if len(assignment.waiting) > 0 && assignment.job.state == model.JobPending && assignment.job.team >= 0 {
-			list = append(list, assignment)
+		job := assignment.job
+		if len(assignment.waiting) > 0 && job.state == model.JobPending && job.team >= 0 {
+			ranks = append(ranks, c.rankOf(assignment, taskSlots))
 		}
 	}
-	slots := c.slotsPerJob(shard)
-	type key struct {
-		late, backfills, lost bool
-		by                    float64
+	slices.SortFunc(ranks, (*rank).compare)
+	ready := make([]*Assignment, len(ranks))
+	for i, r := range ranks {
+		ready[i] = r.assignment
 	}
-	keys := make(map[*Assignment]key, len(list))
-	for _, assignment := range list {
-		rounds, backfills := float64(assignment.waiting.Count())/max(slots(assignment.job), 1), c.isBackfill(assignment.job)
-		if backfills && !c.hasObjectives(assignment.job) {
-			rounds = 0 // the oldest first, so that some end instead of all being half done
-		}
-		by, lost := c.startBy(assignment.job, rounds)
-		keys[assignment] = key{c.isOverdue(assignment), backfills, lost, by}
+	return ready
+}
+
+func (c *Core) rankOf(assignment *Assignment, taskSlots func(*Job) float64) *rank {
+	job := assignment.job
+	r := &rank{
+		assignment:     assignment,
+		overdue:        c.isOverdue(assignment),
+		backfill:       c.isBackfill(job),
+		underGuarantee: c.underGuarantee[job.team],
 	}
-	slices.SortFunc(list, func(a, b *Assignment) int {
-		x, y := a.job, b.job
-		kx, ky := keys[a], keys[b]
-		byPriority := cmp.Compare(x.spec.Priority, y.spec.Priority)
-		if kx.late || ky.late {
-			byPriority = 0
-		}
-		first := func(x, y bool) int {
-			switch {
-			case x == y:
-				return 0
-			case x:
-				return -1
-			}
-			return 1
-		}
-		return cmp.Or(first(kx.late, ky.late), first(ky.backfills, kx.backfills), byPriority, first(c.underGuarantee[x.team], c.underGuarantee[y.team]), first(ky.lost, kx.lost),
-			cmp.Compare(kx.by, ky.by), cmp.Compare(x.id, y.id))
-	})
-	return list
+	rounds := float64(assignment.waiting.Count()) / max(taskSlots(job), 1)
+	if r.backfill && !c.hasObjectives(job) {
+		rounds = 0 // oldest first, so that some end instead of all being half done
+	}
+	r.startBy, r.missed = c.startBy(job, rounds)
+	return r
 }
 
-// slotsPerJob tells how many tasks of a job the part's machines hold at once.
-func (c *Core) slotsPerJob(shard *Shard) func(*Job) float64 {
-	count := make([]float64, len(c.types)*2)
+// taskSlots tells how many tasks of a job the shard's machines hold at once.
+func (c *Core) taskSlots(shard *Shard) func(*Job) float64 {
+	machines := make([]float64, len(c.types)*2) // by type, on-demand and spot
 	for _, host := range shard.hostList() {
 		if host.countsForPlans(c.now) {
 			k := host.typeIndex * 2
 			if host.spot {
 				k++
 			}
-			count[k]++
+			machines[k]++
 		}
 	}
 	return func(job *Job) float64 {
-		n := 0.0
-		for k, m := range count {
-			if m > 0 && c.allowedOn(job, c.kindIndex(shard.zone, k/2, k&1 == 1)) {
-				n += m * float64(c.tasksPerMachine(k/2, job.spec.Need))
+		slots := 0.0
+		for k, count := range machines {
+			typ, spot := k/2, k&1 == 1
+			if count > 0 && c.allowedOn(job, c.kindIndex(shard.zone, typ, spot)) {
+				slots += count * float64(c.tasksPerMachine(typ, job.spec.Need))
 			}
 		}
-		return n
+		return slots
 	}
 }
 
-// hasObjectives says whether anybody expects the job to end by a certain time.
-func (c *Core) hasObjectives(j *Job) bool {
-	return len(c.cfg.CompletionObjectives[j.spec.Class]) > 0 || j.spec.DeadlineSeconds > 0
+// hasObjectives reports whether the job has a deadline or its class a completion objective.
+func (c *Core) hasObjectives(job *Job) bool {
+	return len(c.cfg.CompletionObjectives[job.spec.Class]) > 0 || job.spec.DeadlineSeconds > 0
 }
 
-// startBy is when a job should have started to meet the tightest of its class's
-// aims and its deadlines that it still can, its tasks going through the machines
-// in so many rounds, and whether it can meet none any more. Without any it
-// counts as due in ten minutes.
-func (c *Core) startBy(job *Job, rounds float64) (by float64, lost bool) {
+// startBy is when a job should have started to meet the tightest of its class's objectives
+// and of its deadlines that it still can, if its tasks go through the machines in so many
+// rounds. It also reports whether the job has some but misses all of them.
+func (c *Core) startBy(job *Job, rounds float64) (by float64, missed bool) {
 	since, run := seconds(job.knownSince), c.estimatedRunTime(job)*max(rounds, 1)
-	try := func(within float64) bool {
+	limits := c.completionLimits(job)
+	for _, within := range limits {
 		by = since + within - run
-		return by >= seconds(c.now)
-	}
-	aims := false
-	for _, f := range c.cfg.CompletionObjectives[job.spec.Class] {
-		if aims = true; try(f) {
+		if by >= seconds(c.now) {
 			return by, false
 		}
 	}
-	if d := job.spec.DeadlineSeconds; d > 0 {
-		times := c.cfg.DeadlineObjectives[job.spec.Class]
-		if len(times) == 0 {
-			times = []float64{1}
-		}
-		for _, t := range times {
-			if aims = true; try(d * t) {
-				return by, false
-			}
-		}
-	}
-	if aims {
+	if len(limits) > 0 {
 		return by, true
 	}
-	try(600)
-	return by, false
+	return since + defaultDueSeconds - run, false
+}
+
+// completionLimits are the times within which a job should end, in seconds since it was
+// submitted: its class's objectives, then its deadline with the class's factors.
+func (c *Core) completionLimits(job *Job) []float64 {
+	limits := slices.Clone(c.cfg.CompletionObjectives[job.spec.Class])
+	if job.spec.DeadlineSeconds <= 0 {
+		return limits
+	}
+	factors := c.cfg.DeadlineObjectives[job.spec.Class]
+	if len(factors) == 0 {
+		factors = []float64{1}
+	}
+	for _, factor := range factors {
+		limits = append(limits, job.spec.DeadlineSeconds*factor)
+	}
+	return limits
 }
