--- a/internal/core/devices.go
+++ b/internal/core/devices.go
@@ -47,19 +47,19 @@
 	typ := &c.types[host.typeIndex]
 	now := seconds(c.now)
 	d := &plan.Device{
-		Kind:    c.kindIndex(host.shard.zone, host.typeIndex, host.spot),
-		Total:   typ.Capacity,
-		Up:      now,
-		SPerGB:  c.fetchRate(host.typeIndex),
-		Slow:    1,
-		FetchAt: seconds(host.fetchesDoneAt),
-		Images:  hostImages(host, now),
-		Uses:    make([]plan.Use, 0, len(host.tasks)+4),
+		Kind:          c.kindIndex(host.shard.zone, host.typeIndex, host.spot),
+		Total:         typ.Capacity,
+		UpAt:          now,
+		SecondsPerGB:  c.fetchRate(host.typeIndex),
+		Slowdown:      1,
+		FetchesDoneAt: seconds(host.fetchesDoneAt),
+		Images:        hostImages(host, now),
+		Uses:          make([]plan.Use, 0, len(host.tasks)+4),
 	}
 	if host.state == hostBooting {
-		d.Up = max(seconds(host.expectedUpAt), now+minBootSeconds)
+		d.UpAt = max(seconds(host.expectedUpAt), now+minBootSeconds)
 	} else if host.isJoining(c.now) {
-		d.Up = now + joiningSeconds
+		d.UpAt = now + joiningSeconds
 	}
 	if len(host.tasks) == 0 {
 		d.Penalty = emptyHostCost // work that shares machines lets others be returned
@@ -77,11 +77,11 @@
 func hostImages(host *Host, now float64) []plan.Held {
 	images := make([]plan.Held, 0, len(host.images)+len(host.fetching)+1)
 	for image, at := range host.fetching {
-		images = append(images, plan.Held{Image: image, At: max(seconds(at), now+minFetchSeconds)})
+		images = append(images, plan.Held{Image: image, ReadyAt: max(seconds(at), now+minFetchSeconds)})
 	}
 	for image := range host.images {
 		if _, fetching := host.fetching[image]; !fetching {
-			images = append(images, plan.Held{Image: image, At: now})
+			images = append(images, plan.Held{Image: image, ReadyAt: now})
 		}
 	}
 	return images
@@ -132,12 +132,12 @@
 func (c *Core) groupDevice(shard *Shard, group *HostGroup, typ int) *plan.Device {
 	reported := seconds(shard.viewAt)
 	d := &plan.Device{
-		Kind:    c.kindIndex(shard.zone, typ, group.Spot),
-		Total:   c.types[typ].Capacity,
-		Up:      reported + group.ReadyInSeconds,
-		SPerGB:  c.fetchRate(typ),
-		Slow:    1,
-		FetchAt: reported + group.FetchingSeconds,
+		Kind:          c.kindIndex(shard.zone, typ, group.Spot),
+		Total:         c.types[typ].Capacity,
+		UpAt:          reported + group.ReadyInSeconds,
+		SecondsPerGB:  c.fetchRate(typ),
+		Slowdown:      1,
+		FetchesDoneAt: reported + group.FetchingSeconds,
 	}
 	if group.Used.Cores > 0 || group.Used.GPUs > 0 {
 		use := plan.Use{Start: 0, End: reported + group.BusySeconds, Amount: group.Used}
--- a/internal/core/distribution.go
+++ b/internal/core/distribution.go
@@ -169,7 +169,7 @@
 		Tasks:   min(tasks, sampledTasks),
 		Gang:    step.Gang,
 		Need:    step.Need,
-		Comp:    step.Comp,
+		RunTime: step.RunTime,
 		Image:   step.Image,
 		ImageGB: step.ImageGB,
 		Allowed: step.Allowed,
--- a/internal/core/planround.go
+++ b/internal/core/planround.go
@@ -201,7 +201,7 @@
 	if t.later >= lookaheadTasks && t.planned < on.maxTasks {
 		// The planner may prefer to wait for machines that the first tasks have taken. The
 		// rest takes the machines that are free now, which would stay idle otherwise.
-		t.step.By = r.now + startTolerance
+		t.step.StartBy = r.now + startTolerance
 		r.devicesTried += len(on.devices)
 		addStart := func(placement plan.Placement) bool {
 			if on.all[placement.Device].host.state == hostUp {
@@ -279,7 +279,7 @@
 		r.devicesTried += len(hosts)
 		allRunBy := math.Inf(1) // without preemption
 		if t.planned >= on.maxTasks {
-			allRunBy = t.lastEndsAt - t.step.Comp
+			allRunBy = t.lastEndsAt - t.step.RunTime
 		}
 		preempted := c.preemptFor(shard, assignment, late-t.freeSoon, allRunBy, hosts)
 		late -= max(preempted-t.freeSoon, 0)
--- a/internal/core/planstep.go
+++ b/internal/core/planstep.go
@@ -36,7 +36,7 @@
 		Tasks:   1,
 		Gang:    job.spec.Gang,
 		Need:    job.spec.Need,
-		Comp:    c.estimatedRunTime(job),
+		RunTime: c.estimatedRunTime(job),
 		Image:   job.image,
 		ImageGB: job.spec.ImageGB,
 		Allowed: func(kind int) bool { return allowed[kind] },
--- a/internal/core/rentable.go
+++ b/internal/core/rentable.go
@@ -167,12 +167,12 @@
 			}
 			for range imaginedHosts {
 				d := &plan.Device{
-					Kind:    kind,
-					Total:   typ.Capacity,
-					Up:      seconds(c.now) + delay,
-					SPerGB:  c.fetchRate(t),
-					Slow:    1,
-					Penalty: penalty,
+					Kind:         kind,
+					Total:        typ.Capacity,
+					UpAt:         seconds(c.now) + delay,
+					SecondsPerGB: c.fetchRate(t),
+					Slowdown:     1,
+					Penalty:      penalty,
 				}
 				out = append(out, device{d, shard.zone, nil})
 			}
