--- a/internal/cloud/cloud.go
+++ b/internal/cloud/cloud.go
@@ -1,10 +1,13 @@
 // Package cloud is the client of the cloud that rents machines.
+//
+// It keeps within this controller's share of the cloud's budget of calls and tells its
+// callers what became of each call: done, refused, not sent, or unknown. It never repeats a
+// call by itself. Listing the machines leaves tokens to calls that rent and return them.
 package cloud
 
 import (
 	"context"
 	"net/http"
-	"net/url"
 	"time"
 
 	"golang.org/x/time/rate"
@@ -14,18 +17,39 @@
 	"roadcleat/internal/wire"
 )
 
-// Client calls the cloud within this controller's share of its budget. Returns
-// and hires may use all of it; listings leave some.
+const (
+	callTimeout = 4 * time.Second
+
+	// tokenTimeout is how long a call may wait for its token.
+	tokenTimeout = 3 * time.Second
+
+	maxConns = 6
+)
+
+// A page of a listing is asked for only while there are spareTokens, so that the next call
+// to rent or return finds half a token. This is looked at every sparePollInterval. A listing
+// that finds too few tokens for spareTimeout is given up.
+const (
+	spareTokens       = 1.5
+	sparePollInterval = 100 * time.Millisecond
+	spareTimeout      = 20 * time.Second
+)
+
+// Client calls the cloud within this controller's share of its budget.
 type Client struct {
 	http           *httpc.Client
 	tokens         *rate.Limiter
-	callsPerSecond float64
+	callsPerSecond float64 // of all controllers together
 }
 
-// New makes a client of a cloud that takes so many calls a second from all
-// controllers together. It starts with the share given.
+// New makes a client of a cloud that takes so many calls a second from all controllers
+// together. It starts with the share given.
 func New(addr string, calls, share float64) *Client {
-	c := &Client{http: httpc.New(addr, 6, 6), tokens: rate.NewLimiter(0, 1), callsPerSecond: calls}
+	c := &Client{
+		http:           httpc.New(addr, maxConns, maxConns),
+		tokens:         rate.NewLimiter(0, 1),
+		callsPerSecond: calls,
+	}
 	c.Share(share)
 	return c
 }
@@ -37,34 +61,24 @@
 	c.tokens.SetBurst(max(int(2*calls), 1))
 }
 
-const callTimeout = 4 * time.Second
-
-// tokenTimeout is how long a call may wait for its token.
-const tokenTimeout = 3 * time.Second
-
+// admit takes a call's token.
 func (c *Client) admit(ctx context.Context) bool {
 	ctx, cancel := context.WithTimeout(ctx, tokenTimeout)
 	defer cancel()
 	return c.tokens.Wait(ctx) == nil
 }
 
-// A page of a listing is asked for when it leaves half a token to the next hire or
-// return, which it looks for so often. A listing that finds none for so long is given up.
-const (
-	spareTokens       = 1.5
-	sparePollInterval = 100 * time.Millisecond
-	spareTimeout      = 20 * time.Second
-)
-
-// admitPage waits for a token that nothing more urgent needs.
+// admitPage takes a token that no more urgent call needs.
 func (c *Client) admitPage(ctx context.Context) bool {
 	ctx, cancel := context.WithTimeout(ctx, spareTimeout)
 	defer cancel()
+	poll := time.NewTicker(sparePollInterval)
+	defer poll.Stop()
 	for c.tokens.Burst() > 1 && c.tokens.Tokens() < spareTokens {
 		select {
 		case <-ctx.Done():
 			return false
-		case <-time.After(sparePollInterval):
+		case <-poll.C:
 		}
 	}
 	return c.tokens.Wait(ctx) == nil
@@ -75,8 +89,8 @@
 	if !c.admit(ctx) {
 		return core.CatalogResult{Outcome: core.OutcomeNotSent}
 	}
-	r := c.http.Do(ctx, callTimeout, http.MethodGet, "/catalog", nil)
-	if r.Err != nil || r.Status != 200 {
+	r := c.http.Do(ctx, callTimeout, http.MethodGet, wire.PathCatalog, nil)
+	if r.Err != nil || r.Status != http.StatusOK {
 		return core.CatalogResult{Outcome: core.OutcomeUnknown}
 	}
 	types, err := wire.DecodeCatalog(r.Body)
@@ -86,9 +100,8 @@
 	return core.CatalogResult{Outcome: core.OutcomeOK, Types: types}
 }
 
-// Hosts lists all machines, page by page. Each page waits for its own token: a listing
-// that was given up when the second page found none began anew for ever where the fleet
-// had more pages than a second brings tokens.
+// Hosts lists all machines, page by page. Each page waits for its own token, since a fleet
+// may have more pages than the budget has calls in tokenTimeout.
 func (c *Client) Hosts(ctx context.Context) core.HostsResult {
 	var out core.HostsResult
 	after := ""
@@ -96,12 +109,8 @@
 		if !c.admitPage(ctx) {
 			return core.HostsResult{Outcome: core.OutcomeNotSent}
 		}
-		path := "/hosts?Page=500"
-		if after != "" {
-			path += "&After=" + url.QueryEscape(after)
-		}
-		r := c.http.Do(ctx, callTimeout, http.MethodGet, path, nil)
-		if r.Err != nil || r.Status != 200 {
+		r := c.http.Do(ctx, callTimeout, http.MethodGet, wire.PathHostsPage(after), nil)
+		if r.Err != nil || r.Status != http.StatusOK {
 			return core.HostsResult{Outcome: core.OutcomeUnknown}
 		}
 		hosts, more, err := wire.DecodeHosts(r.Body)
@@ -117,36 +126,41 @@
 	}
 }
 
-// Rent rents machines.
+// Rent rents machines. It is refused if the cloud has none to give, or the request is one
+// that it never fulfils.
 func (c *Client) Rent(ctx context.Context, op core.RentHosts) core.RentResult {
 	if !c.admit(ctx) {
 		return core.RentResult{Outcome: core.OutcomeNotSent}
 	}
-	r := c.http.Do(ctx, callTimeout, http.MethodPost, "/hosts", wire.EncodeRentRequest(op))
-	reply := wire.DecodeTxnReply(r.Body)
-	switch {
-	case r.Err != nil:
+	r := c.http.Do(ctx, callTimeout, http.MethodPost, wire.PathHosts, wire.EncodeRentRequest(op))
+	if r.Err != nil {
 		return core.RentResult{Outcome: core.OutcomeUnknown}
-	case r.Status == 200:
+	}
+	switch r.Status {
+	case http.StatusOK:
 		hosts, err := wire.DecodeRented(r.Body)
 		if err != nil {
 			return core.RentResult{Outcome: core.OutcomeUnknown}
 		}
 		return core.RentResult{Outcome: core.OutcomeOK, Hosts: hosts}
-	case r.Status == 503 && reply.Error == "no capacity", r.Status == 400:
+	case http.StatusBadRequest:
 		return core.RentResult{Outcome: core.OutcomeRefused}
+	case http.StatusServiceUnavailable:
+		if wire.DecodeServiceReply(r.Body).Error == wire.ErrorNoCapacity {
+			return core.RentResult{Outcome: core.OutcomeRefused}
+		}
 	}
 	return core.RentResult{Outcome: core.OutcomeNotSent}
 }
 
-// Return gives machines back.
+// Return returns machines to the cloud.
 func (c *Client) Return(ctx context.Context, hosts []string) core.ReturnResult {
 	if !c.admit(ctx) {
 		return core.ReturnResult{Outcome: core.OutcomeNotSent}
 	}
-	r := c.http.Do(ctx, callTimeout, http.MethodPost, "/hosts/return", wire.EncodeReturnRequest(hosts))
-	if r.Err == nil && r.Status == 200 {
-		return core.ReturnResult{Outcome: core.OutcomeOK}
+	r := c.http.Do(ctx, callTimeout, http.MethodPost, wire.PathReturnHosts, wire.EncodeReturnRequest(hosts))
+	if r.Err != nil || r.Status != http.StatusOK {
+		return core.ReturnResult{Outcome: core.OutcomeUnknown}
 	}
-	return core.ReturnResult{Outcome: core.OutcomeUnknown}
+	return core.ReturnResult{Outcome: core.OutcomeOK}
 }
--- a/internal/state/state.go
+++ b/internal/state/state.go
@@ -1,12 +1,15 @@
 // Package state is the client of the state service.
+//
+// It keeps within this controller's share of the service's budgets and tells its callers
+// what became of each call: done, refused, not sent, or unknown. It never repeats a call by
+// itself. The lease is renewed and keys are watched on connections of their own, so neither
+// waits for other calls.
 package state
 
 import (
 	"context"
 	"errors"
-	"fmt"
 	"net/http"
-	"net/url"
 	"time"
 
 	"golang.org/x/time/rate"
@@ -16,28 +19,41 @@
 	"roadcleat/internal/wire"
 )
 
-// Client calls the state service within this controller's share of its
-// budgets: one token a request, one token a change.
+const (
+	callTimeout = 2 * time.Second
+
+	// requestTokenTimeout and writeTokenTimeout are how long a call may wait for its tokens.
+	requestTokenTimeout = time.Second
+	writeTokenTimeout   = 1500 * time.Millisecond
+
+	maxConns          = 24
+	maxDedicatedConns = 4
+)
+
+// Client calls the state service within this controller's share of its budgets: one token
+// a request, one token a change.
 type Client struct {
 	http      *httpc.Client
-	dedicated *httpc.Client // open watches and the lease, so that neither waits for the rest nor keeps it waiting
+	dedicated *httpc.Client // open watches and the lease, which must not wait for other calls
 	requests  *rate.Limiter
 	writes    *rate.Limiter
 
-	totalRequests, totalWrites float64
-	txnOps                     int
+	totalRequests float64
+	totalWrites   float64
+	txnOps        int
 }
 
-// New makes a client of a service that takes so many requests and changes a
-// second from all controllers together, and so many changes a transaction. It
-// starts with the share given.
+// New makes a client of a service that takes so many requests and changes a second from all
+// controllers together, and so many changes a transaction. It starts with the share given.
 func New(addr string, requests, changes float64, txnOps int, share float64) *Client {
 	c := &Client{
-		http:          httpc.New(addr, 24, 24),
-		dedicated:     httpc.New(addr, 4, 4),
+		http:          httpc.New(addr, maxConns, maxConns),
+		dedicated:     httpc.New(addr, maxDedicatedConns, maxDedicatedConns),
 		requests:      rate.NewLimiter(0, 1),
 		writes:        rate.NewLimiter(0, 1),
-		totalRequests: requests, totalWrites: changes, txnOps: txnOps,
+		totalRequests: requests,
+		totalWrites:   changes,
+		txnOps:        txnOps,
 	}
 	c.Share(share, share)
 	return c
@@ -45,48 +61,61 @@
 
 // Share sets this controller's share of the budgets.
 func (c *Client) Share(requests, changes float64) {
-	r, w := c.totalRequests*requests, c.totalWrites*changes
-	c.requests.SetLimit(rate.Limit(r))
-	c.requests.SetBurst(max(int(r), 1))
-	c.writes.SetLimit(rate.Limit(w))
-	c.writes.SetBurst(max(int(w), 2*c.txnOps)) // the largest transaction must pass, and not hold up the next
+	requestRate := c.totalRequests * requests
+	c.requests.SetLimit(rate.Limit(requestRate))
+	c.requests.SetBurst(max(int(requestRate), 1))
+	writeRate := c.totalWrites * changes
+	c.writes.SetLimit(rate.Limit(writeRate))
+	// The largest transaction must pass without holding up the next one.
+	c.writes.SetBurst(max(int(writeRate), 2*c.txnOps))
 }
 
-const callTimeout = 2 * time.Second
-
-// admit takes the tokens of a call. Calls that are not urgent leave a quarter
-// of the burst to the urgent ones and do not wait for long.
+// admit takes a request's token. Calls that are not urgent leave a quarter of the burst to
+// the urgent ones.
 func (c *Client) admit(ctx context.Context, urgent bool) bool {
 	if !urgent && c.requests.Tokens() < float64(c.requests.Burst())/4 {
 		return false
 	}
-	ctx, cancel := context.WithTimeout(ctx, time.Second)
+	ctx, cancel := context.WithTimeout(ctx, requestTokenTimeout)
 	defer cancel()
 	return c.requests.Wait(ctx) == nil
 }
 
-// admitWrites takes a transaction's tokens for changes. One that spares waits
-// until the next submission would find some left.
-func (c *Client) admitWrites(ctx context.Context, changes int, spare bool) bool {
+// admitWrites takes the tokens of a transaction's changes. A background transaction waits
+// until the next submission would find tokens too.
+func (c *Client) admitWrites(ctx context.Context, changes int, background bool) bool {
 	if changes == 0 {
 		return true
 	}
-	ctx, cancel := context.WithTimeout(ctx, 1500*time.Millisecond)
+	ctx, cancel := context.WithTimeout(ctx, writeTokenTimeout)
 	defer cancel()
 	changes = min(changes, c.writes.Burst())
-	for spare && c.writes.Limit() > 0 {
-		left := min(float64(c.txnOps)/2, float64(c.writes.Limit())/4)
-		short := min(float64(changes)+left, float64(c.writes.Burst())) - c.writes.Tokens()
-		if short <= 0 {
-			break
+	if background && !c.waitForSpareWrites(ctx, changes) {
+		return false
+	}
+	return c.writes.WaitN(ctx, changes) == nil
+}
+
+// waitForSpareWrites waits until there are tokens for a number of changes and for those of a
+// submission. It gives up when the context ends.
+func (c *Client) waitForSpareWrites(ctx context.Context, changes int) bool {
+	for c.writes.Limit() > 0 {
+		limit := float64(c.writes.Limit())
+		spare := min(float64(c.txnOps)/2, limit/4)
+		wanted := min(float64(changes)+spare, float64(c.writes.Burst()))
+		missing := wanted - c.writes.Tokens()
+		if missing <= 0 {
+			return true
 		}
+		timer := time.NewTimer(time.Duration((missing/limit + 0.001) * float64(time.Second)))
 		select {
 		case <-ctx.Done():
+			timer.Stop()
 			return false
-		case <-time.After(time.Duration((short/float64(c.writes.Limit()) + 0.001) * float64(time.Second))):
+		case <-timer.C:
 		}
 	}
-	return c.writes.WaitN(ctx, changes) == nil
+	return true
 }
 
 // Commit carries out a transaction.
@@ -94,21 +123,21 @@
 	if !c.admitWrites(ctx, len(op.Txn.Mutations), op.Background) || !c.admit(ctx, op.Urgent) {
 		return core.CommitResult{Outcome: core.OutcomeNotSent}
 	}
-	r := c.http.Do(ctx, callTimeout, http.MethodPost, "/commit", wire.EncodeTxn(op.Txn))
+	r := c.http.Do(ctx, callTimeout, http.MethodPost, wire.PathCommit, wire.EncodeTxn(op.Txn))
 	switch {
-	case r.NotSent || r.Status == 503 || r.Status == 429:
+	case r.NotSent || r.Status == http.StatusServiceUnavailable || r.Status == http.StatusTooManyRequests:
 		return core.CommitResult{Outcome: core.OutcomeNotSent}
 	case r.Err != nil:
 		return core.CommitResult{Outcome: core.OutcomeUnknown}
 	}
-	reply := wire.DecodeTxnReply(r.Body)
+	reply := wire.DecodeServiceReply(r.Body)
 	switch r.Status {
-	case 200:
-		return core.CommitResult{Outcome: core.OutcomeOK, Revision: reply.Ledger}
-	case 409:
-		return core.CommitResult{Outcome: core.OutcomeRefused, FailedKeys: reply.Failed}
-	case 400:
-		return core.CommitResult{Outcome: core.OutcomeRefused, LeaseExpired: reply.Error == "no such lease"}
+	case http.StatusOK:
+		return core.CommitResult{Outcome: core.OutcomeOK, Revision: reply.Revision}
+	case http.StatusConflict:
+		return core.CommitResult{Outcome: core.OutcomeRefused, FailedKeys: reply.FailedKeys}
+	case http.StatusBadRequest:
+		return core.CommitResult{Outcome: core.OutcomeRefused, LeaseExpired: reply.Error == wire.ErrorNoSuchLease}
 	}
 	return core.CommitResult{Outcome: core.OutcomeUnknown}
 }
@@ -118,11 +147,11 @@
 	if !c.admit(ctx, op.Urgent) {
 		return core.ReadResult{Outcome: core.OutcomeNotSent}
 	}
-	r := c.http.Do(ctx, callTimeout, http.MethodGet, "/store/"+op.Key, nil)
+	r := c.http.Do(ctx, callTimeout, http.MethodGet, wire.PathKey(op.Key), nil)
 	switch {
-	case r.Err != nil || r.Status != 200 && r.Status != 404:
+	case r.Err != nil || r.Status != http.StatusOK && r.Status != http.StatusNotFound:
 		return core.ReadResult{Outcome: core.OutcomeUnknown}
-	case r.Status == 404:
+	case r.Status == http.StatusNotFound:
 		return core.ReadResult{Outcome: core.OutcomeOK}
 	}
 	item, err := wire.DecodeKey(r.Body)
@@ -132,7 +161,8 @@
 	return core.ReadResult{Outcome: core.OutcomeOK, Found: true, Item: item}
 }
 
-// List reads all keys with a prefix, page by page.
+// List reads all keys with a prefix, page by page. The result's revision is that of the
+// first page: later pages may show later changes, but none up to that revision is missing.
 func (c *Client) List(ctx context.Context, op core.ListKeys) core.ListResult {
 	var out core.ListResult
 	after := ""
@@ -140,12 +170,8 @@
 		if !c.admit(ctx, true) {
 			return core.ListResult{Outcome: core.OutcomeNotSent}
 		}
-		q := url.Values{"Starts": {op.Prefix}, "Page": {"500"}}
-		if after != "" {
-			q.Set("After", after)
-		}
-		r := c.http.Do(ctx, callTimeout, http.MethodGet, "/store?"+q.Encode(), nil)
-		if r.Err != nil || r.Status != 200 {
+		r := c.http.Do(ctx, callTimeout, http.MethodGet, wire.PathKeys(op.Prefix, after), nil)
+		if r.Err != nil || r.Status != http.StatusOK {
 			return core.ListResult{Outcome: core.OutcomeUnknown}
 		}
 		items, more, revision, err := wire.DecodeKeys(r.Body)
@@ -153,7 +179,7 @@
 			return core.ListResult{Outcome: core.OutcomeUnknown}
 		}
 		if out.Revision == 0 {
-			out.Revision = revision // the view is no newer than its first page
+			out.Revision = revision
 		}
 		out.Items = append(out.Items, items...)
 		if !more || len(items) == 0 {
@@ -164,21 +190,21 @@
 	}
 }
 
-// Watch waits for changes.
+// Watch waits for changes after a revision. It is refused if the service no longer has all
+// of them, or if they are more than a reply may hold; the keys have to be listed again then.
 func (c *Client) Watch(ctx context.Context, op core.WatchKeys) core.WatchResult {
 	if !c.admit(ctx, true) {
 		return core.WatchResult{Outcome: core.OutcomeNotSent}
 	}
-	path := fmt.Sprintf("/follow?Starts=%s&After=%d&WaitMs=%d", url.QueryEscape(op.Prefix), op.AfterRevision, op.Timeout.Milliseconds())
+	path := wire.PathWatch(op.Prefix, op.AfterRevision, op.Timeout)
 	r := c.dedicated.Do(ctx, op.Timeout+callTimeout, http.MethodGet, path, nil)
 	switch {
 	case errors.Is(r.Err, httpc.ErrTooLarge):
-		// So much has changed while nothing was heard that reading the keys, page by
-		// page, costs less. Asked again, the answer would only be larger.
+		// Asked again, the reply would only be larger.
 		return core.WatchResult{Outcome: core.OutcomeRefused}
-	case r.Err != nil || r.Status != 200 && r.Status != 410:
+	case r.Err != nil || r.Status != http.StatusOK && r.Status != http.StatusGone:
 		return core.WatchResult{Outcome: core.OutcomeUnknown}
-	case r.Status == 410:
+	case r.Status == http.StatusGone:
 		return core.WatchResult{Outcome: core.OutcomeRefused}
 	}
 	changes, revision, err := wire.DecodeChanges(r.Body)
@@ -188,29 +214,31 @@
 	return core.WatchResult{Outcome: core.OutcomeOK, Revision: revision, Changes: changes}
 }
 
-// takeToken takes a request's token without waiting for it. What keeps a controller
-// in office is too little to overdraw the budget, and behind everything else that
-// a part's loading or a crowd of users asks for, the lease would run out.
+// takeToken takes a request's token without waiting for it. Calls for the lease are too few
+// to overdraw the budget, and the lease would expire if they waited behind the requests of a
+// failover or a burst of users.
 func (c *Client) takeToken() { c.requests.Reserve() }
 
 // GrantLease asks for a lease.
 func (c *Client) GrantLease(ctx context.Context, op core.GrantLease) core.LeaseResult {
 	c.takeToken()
-	r := c.dedicated.Do(ctx, callTimeout, http.MethodPost, "/holds", wire.EncodeLeaseRequest(op.TTL.Milliseconds()))
-	if reply := wire.DecodeTxnReply(r.Body); r.Err == nil && r.Status == 200 && reply.Tenure > 0 {
-		return core.LeaseResult{Outcome: core.OutcomeOK, Lease: reply.Tenure}
+	body := wire.EncodeLeaseRequest(op.TTL.Milliseconds())
+	r := c.dedicated.Do(ctx, callTimeout, http.MethodPost, wire.PathGrantLease, body)
+	reply := wire.DecodeServiceReply(r.Body)
+	if r.Err != nil || r.Status != http.StatusOK || reply.Lease == 0 {
+		return core.LeaseResult{Outcome: core.OutcomeUnknown}
 	}
-	return core.LeaseResult{Outcome: core.OutcomeUnknown}
+	return core.LeaseResult{Outcome: core.OutcomeOK, Lease: reply.Lease}
 }
 
-// RenewLease renews a lease.
+// RenewLease renews a lease. It is refused if the lease has expired.
 func (c *Client) RenewLease(ctx context.Context, op core.RenewLease) core.RenewResult {
 	c.takeToken()
-	r := c.dedicated.Do(ctx, callTimeout, http.MethodPost, fmt.Sprintf("/holds/%d/renew", op.Lease), nil)
+	r := c.dedicated.Do(ctx, callTimeout, http.MethodPost, wire.PathRenewLease(op.Lease), nil)
 	switch {
-	case r.Err == nil && r.Status == 200:
+	case r.Err == nil && r.Status == http.StatusOK:
 		return core.RenewResult{Outcome: core.OutcomeOK}
-	case r.Err == nil && r.Status == 404:
+	case r.Err == nil && r.Status == http.StatusNotFound:
 		return core.RenewResult{Outcome: core.OutcomeRefused}
 	}
 	return core.RenewResult{Outcome: core.OutcomeUnknown}
--- a/internal/wire/cloud.go
+++ b/internal/wire/cloud.go
@@ -1,80 +1,114 @@
 package wire
 
 import (
-	"encoding/json"
-	"fmt"
-
 	"roadcleat/internal/core"
 	"roadcleat/internal/model"
 )
 
-type breed struct {
-	Name              string
-	Cores, Cards      float64
-	MemGb, CacheGb    float64
-	PullGbPerS        float64
-	Rate, MarketPrice float64
-	BootS             float64
-	Yards             []string
+// machineType is an entry of the cloud's catalogue.
+type machineType struct {
+	Name             string   `json:"Name"`
+	Cores            float64  `json:"Cores"`
+	GPUs             float64  `json:"Cards"`
+	MemoryGB         float64  `json:"MemGb"`
+	CacheGB          float64  `json:"CacheGb"`
+	FetchGBPerSecond float64  `json:"PullGbPerS"`
+	Price            float64  `json:"Rate"`
+	SpotPrice        float64  `json:"MarketPrice"`
+	BootSeconds      float64  `json:"BootS"`
+	Zones            []string `json:"Yards"`
 }
 
-// DecodeCatalog reads the machine types.
+func (t machineType) model() model.MachineType {
+	return model.MachineType{
+		Name:             t.Name,
+		Capacity:         model.Resources{Cores: t.Cores, GPUs: t.GPUs, MemoryGB: t.MemoryGB},
+		CacheGB:          t.CacheGB,
+		FetchGBPerSecond: t.FetchGBPerSecond,
+		Price:            t.Price,
+		SpotPrice:        t.SpotPrice,
+		BootSeconds:      t.BootSeconds,
+		Zones:            t.Zones,
+	}
+}
+
+// DecodeCatalog reads the machine types: the cloud's reply to GET /catalog.
 func DecodeCatalog(body []byte) ([]model.MachineType, error) {
-	var c struct{ Breeds []breed }
-	if err := json.Unmarshal(body, &c); err != nil {
-		return nil, fmt.Errorf("catalogue: %w", err)
+	var catalog struct {
+		Types []machineType `json:"Breeds"`
+	}
+	if err := decode("catalogue", body, &catalog); err != nil {
+		return nil, err
 	}
-	var out []model.MachineType
-	for _, b := range c.Breeds {
-		out = append(out, model.MachineType{Name: b.Name, Capacity: model.Resources{Cores: b.Cores, GPUs: b.Cards, MemoryGB: b.MemGb},
-			CacheGB: b.CacheGb, FetchGBPerSecond: b.PullGbPerS, Price: b.Rate, SpotPrice: b.MarketPrice, BootSeconds: b.BootS, Zones: b.Yards})
+	var types []model.MachineType
+	for _, t := range catalog.Types {
+		types = append(types, t.model())
 	}
-	return out, nil
+	return types, nil
 }
 
-// EncodeRentRequest writes a rental request.
+// rentRequest asks for machines. The cloud recognises a repetition by Name.
+type rentRequest struct {
+	Name  string `json:"Hire"`
+	Type  string `json:"Breed"`
+	Zone  string `json:"Yard"`
+	Spot  bool   `json:"Loaners"`
+	Count int    `json:"Number"`
+}
+
+// EncodeRentRequest writes the body of the cloud's POST /hosts.
 func EncodeRentRequest(op core.RentHosts) []byte {
-	b, _ := json.Marshal(struct {
-		Hire, Breed, Yard string
-		Loaners           bool
-		Number            int
-	}{op.Name, op.Type, op.Zone, op.Spot, op.Count})
-	return b
+	return encode(rentRequest{Name: op.Name, Type: op.Type, Zone: op.Zone, Spot: op.Spot, Count: op.Count})
 }
 
-// EncodeReturnRequest writes the names of machines to give back.
-func EncodeReturnRequest(hosts []string) []byte {
-	b, _ := json.Marshal(struct{ Hosts []string }{hosts})
-	return b
+// hostNames lists machines by name.
+type hostNames struct {
+	Hosts []string `json:"Hosts"`
 }
 
-// DecodeRented reads the names of the machines rented.
+// DecodeRented reads the names of the machines rented: the cloud's reply to POST /hosts.
 func DecodeRented(body []byte) ([]string, error) {
-	var h struct{ Hosts []string }
-	if err := json.Unmarshal(body, &h); err != nil {
-		return nil, fmt.Errorf("rental: %w", err)
+	var rented hostNames
+	if err := decode("rental", body, &rented); err != nil {
+		return nil, err
 	}
-	return h.Hosts, nil
+	return rented.Hosts, nil
+}
+
+// EncodeReturnRequest writes the body of the cloud's POST /hosts/return.
+func EncodeReturnRequest(hosts []string) []byte { return encode(hostNames{Hosts: hosts}) }
+
+// listedHost is an entry of the cloud's list of rented machines.
+type listedHost struct {
+	Name          string  `json:"Ref"`
+	Address       string  `json:"Endpoint"`
+	Type          string  `json:"Breed"`
+	Zone          string  `json:"Yard"`
+	Spot          bool    `json:"Loaners"`
+	State         string  `json:"Standing"`
+	RentedSeconds float64 `json:"HeldS"`
 }
 
-// DecodeHosts reads a page of the machine list and whether more follow.
-func DecodeHosts(body []byte) ([]model.ListedHost, bool, error) {
-	var l struct {
-		Hosts []struct {
-			Ref, Endpoint, Breed, Yard string
-			Loaners                    bool
-			Standing                   string
-			HeldS                      float64
-		}
-		Truncated bool
+// DecodeHosts reads a page of the machine list and whether more pages follow: the cloud's
+// reply to GET /hosts.
+func DecodeHosts(body []byte) (hosts []model.ListedHost, more bool, err error) {
+	var page struct {
+		Hosts     []listedHost `json:"Hosts"`
+		Truncated bool         `json:"Truncated"`
 	}
-	if err := json.Unmarshal(body, &l); err != nil {
-		return nil, false, fmt.Errorf("machine list: %w", err)
+	if err := decode("machine list", body, &page); err != nil {
+		return nil, false, err
 	}
-	var out []model.ListedHost
-	for _, h := range l.Hosts {
-		out = append(out, model.ListedHost{Name: h.Ref, Address: h.Endpoint, Type: h.Breed, Zone: h.Yard, Spot: h.Loaners,
-			State: h.Standing, RentedSeconds: h.HeldS})
+	for _, h := range page.Hosts {
+		hosts = append(hosts, model.ListedHost{
+			Name:          h.Name,
+			Address:       h.Address,
+			Type:          h.Type,
+			Zone:          h.Zone,
+			Spot:          h.Spot,
+			State:         h.State,
+			RentedSeconds: h.RentedSeconds,
+		})
 	}
-	return out, l.Truncated, nil
+	return hosts, page.Truncated, nil
 }
