--- a/internal/peer/messages.go
+++ b/internal/peer/messages.go
@@ -279,7 +279,12 @@
 }
 
 func decodeQueue(q gobQueue) core.Queue {
-	counts := core.TaskCounts{Running: q.Tally.Up, Starting: q.Tally.Starting, Fetching: q.Tally.Fetching, Waiting: q.Tally.Waiting}
+	counts := core.TaskCounts{
+		Running:  q.Tally.Up,
+		Starting: q.Tally.Starting,
+		Fetching: q.Tally.Fetching,
+		Waiting:  q.Tally.Waiting,
+	}
 	return core.Queue{
 		Shard:       q.Part,
 		Class:       q.Class,
