--- a/internal/api/api_test.go
+++ b/internal/api/api_test.go
@@ -2,8 +2,6 @@
 
 import (
 	"io"
-	"log/slog"
-	"net"
 	"net/http"
 	"strings"
 	"testing"
@@ -12,32 +10,28 @@
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 
-	"roadcleat/internal/agent"
 	"roadcleat/internal/cloud"
 	"roadcleat/internal/core"
-	"roadcleat/internal/metrics"
-	"roadcleat/internal/runtime"
 	"roadcleat/internal/state"
 )
 
 func TestWorkersLeaveRoomForUsersWhenSocketsRunShort(t *testing.T) {
-	// One owner of everything has more workers than sockets. They report one after
-	// the other then, and users and health checks still find room.
-	const nobody, conns = "127.0.0.1:1", 9
-	log := slog.New(slog.NewTextHandler(io.Discard, nil))
-	rt := runtime.New(core.New(core.Config{Label: "n0", Zone: "a", Zones: []string{"a"}}), state.New(nobody, 100, 50, 12, 1),
-		cloud.New(nobody, 5, 1), agent.New(4), runtime.Bounds{WorkerCalls: 4}, nil, metrics.New(), log)
-	go rt.Run(t.Context())
-	ln, err := net.Listen("tcp", "127.0.0.1:0")
-	require.NoError(t, err)
-	go func() { _ = New(rt, metrics.New(), log).Serve(t.Context(), ln, conns, time.Second) }()
-	url := "http://" + ln.Addr().String()
-	// Each of them would keep its connection.
+	// A controller that owns all shards has more workers than sockets. They send their
+	// heartbeats one after the other then, and users and health checks still find room.
+	const (
+		nobody    = "127.0.0.1:1"
+		conns     = 9
+		heartbeat = `{"Host":"vm-1","Yard":"a","Shift":1,"Tally":1,"Baton":0,"Sheets":[]}`
+	)
+	cfg := core.Config{Label: "n0", Zone: "a", Zones: []string{"a"}}
+	url := startServer(t, cfg, state.New(nobody, 100, 50, 12, 1), cloud.New(nobody, 5, 1), conns)
 	kept, refused := 0, 0
 	for range 4 * conns {
-		worker := &http.Client{Transport: &http.Transport{}, Timeout: 5 * time.Second}
-		resp, err := worker.Post(url+"/agent/beat", "application/json",
-			strings.NewReader(`{"Host":"vm-1","Yard":"a","Shift":1,"Tally":1,"Baton":0,"Sheets":[]}`))
+		// Each worker would keep its connection.
+		transport := &http.Transport{}
+		t.Cleanup(transport.CloseIdleConnections)
+		worker := &http.Client{Transport: transport, Timeout: 5 * time.Second}
+		resp, err := worker.Post(url+"/agent/beat", "application/json", strings.NewReader(heartbeat))
 		if err != nil {
 			refused++
 			continue
--- a/internal/api/operators.go
+++ b/internal/api/operators.go
@@ -11,58 +11,62 @@
 	"roadcleat/internal/core"
 )
 
-// operatorTimeout is how long an operator's question may wait for the owner goroutine.
+// operatorTimeout is how long an operator's request may wait for the core.
 const operatorTimeout = 2 * time.Second
 
-// ask runs f on the owner goroutine, or answers that this is not possible now.
-func (s *Server) ask(w http.ResponseWriter, r *http.Request, f func(*core.Core)) bool {
+// inspect runs f on the goroutine that owns the core. It replies itself if that is not
+// possible in time.
+func (s *Server) inspect(w http.ResponseWriter, r *http.Request, f func(*core.Core)) bool {
 	ctx, cancel := context.WithTimeout(r.Context(), operatorTimeout)
 	defer cancel()
 	if err := s.rt.Inspect(ctx, f); err != nil {
-		w.Header().Set("Retry-After", "1")
-		http.Error(w, "busy", http.StatusServiceUnavailable)
+		replyBusy(w)
 		return false
 	}
 	return true
 }
 
-func (s *Server) json(w http.ResponseWriter, v any) {
+func (s *Server) writeJSON(w http.ResponseWriter, v any) {
 	w.Header().Set("Content-Type", "application/json")
 	if err := json.NewEncoder(w).Encode(v); err != nil {
 		s.log.Debug("answer not written", "err", err)
 	}
 }
 
+// status serves this controller's view of the cluster.
 func (s *Server) status(w http.ResponseWriter, r *http.Request) {
-	answer := make(chan core.Status, 1)
-	if s.ask(w, r, func(c *core.Core) { answer <- c.Status() }) {
-		s.json(w, <-answer)
+	result := make(chan core.Status, 1)
+	if s.inspect(w, r, func(c *core.Core) { result <- c.Status() }) {
+		s.writeJSON(w, <-result)
 	}
 }
 
+// explain serves where a job's tasks are and why others wait.
 func (s *Server) explain(w http.ResponseWriter, r *http.Request) {
-	type result struct {
-		e     core.Explanation
-		known bool
-	}
-	answer := make(chan result, 1)
+	result := make(chan *core.Explanation, 1) // nil if the job is not known
 	id := chi.URLParam(r, "id")
-	if !s.ask(w, r, func(c *core.Core) {
-		e, known := c.Explain(id)
-		answer <- result{e, known}
+	if !s.inspect(w, r, func(c *core.Core) {
+		explanation, known := c.Explain(id)
+		if !known {
+			result <- nil
+			return
+		}
+		result <- &explanation
 	}) {
 		return
 	}
-	if res := <-answer; res.known {
-		s.json(w, res.e)
-	} else {
+	explanation := <-result
+	if explanation == nil {
 		http.Error(w, "no such job known here", http.StatusNotFound)
+		return
 	}
+	s.writeJSON(w, explanation)
 }
 
+// metrics serves the metrics in Prometheus' text format.
 func (s *Server) metrics(w http.ResponseWriter, r *http.Request) {
-	answer := make(chan core.Gauges, 1)
-	if s.ask(w, r, func(c *core.Core) { answer <- c.Gauges() }) {
-		s.collector.Handler(<-answer).ServeHTTP(w, r)
+	result := make(chan core.Gauges, 1)
+	if s.inspect(w, r, func(c *core.Core) { result <- c.Gauges() }) {
+		s.collector.Handler(<-result).ServeHTTP(w, r)
 	}
 }
--- a/internal/api/submissions_test.go
+++ b/internal/api/submissions_test.go
@@ -2,8 +2,6 @@
 
 import (
 	"io"
-	"log/slog"
-	"net"
 	"net/http"
 	"net/http/httptest"
 	"strings"
@@ -13,18 +11,19 @@
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 
-	"roadcleat/internal/agent"
 	"roadcleat/internal/cloud"
 	"roadcleat/internal/core"
-	"roadcleat/internal/metrics"
 	"roadcleat/internal/model"
-	"roadcleat/internal/runtime"
 	"roadcleat/internal/state"
 )
 
-// outside is a cloud with one type and a state service that holds job-1 and takes
+const goodSubmission = `{"Ref":"job-2","Docket":"c","Desk":"t","Form":"array","Urgency":"high","Sheets":2,` +
+	`"Cores":8.0,"Cards":0.0,"MemGb":1.0,"Build":"i","PullGb":1.0,"OneZone":false,"Apart":false,"Loaners":true,` +
+	`"ExpectedS":1.0,"BookmarkS":0.0,"StowS":0.0}`
+
+// serveOutside is a cloud with one type and a state service that holds job-1 and accepts
 // nothing.
-func outside(w http.ResponseWriter, r *http.Request) {
+func serveOutside(w http.ResponseWriter, r *http.Request) {
 	switch r.URL.Path {
 	case "/catalog":
 		_, _ = io.WriteString(w, `{"Breeds":[{"Name":"g8","Cores":96,"Cards":8,"MemGb":768,"BootS":45,"Yards":["a"]}]}`)
@@ -35,42 +34,52 @@
 	}
 }
 
-func TestBadBodiesAreNamedAndKnownJobsRecognised(t *testing.T) {
-	srv := httptest.NewServer(http.HandlerFunc(outside))
-	defer srv.Close()
-	addr := strings.TrimPrefix(srv.URL, "http://")
-	log := slog.New(slog.NewTextHandler(io.Discard, nil))
-	rt := runtime.New(core.New(core.Config{Label: "n0", Zone: "a", Zones: []string{"a"}, MaxTxnOps: 12, MaxValueBytes: 4096,
-		Teams: []core.Team{{Name: "t", Limit: model.Resources{Cores: 8}}}}),
-		state.New(addr, 1000, 500, 12, 1), cloud.New(addr, 50, 1), agent.New(4), runtime.Bounds{WorkerCalls: 4}, nil, metrics.New(), log)
-	go rt.Run(t.Context())
-	ln, err := net.Listen("tcp", "127.0.0.1:0")
-	require.NoError(t, err)
-	go func() { _ = New(rt, metrics.New(), log).Serve(t.Context(), ln, 20, time.Second) }()
-	post := func(body string) (int, string) {
-		resp, err := http.Post("http://"+ln.Addr().String()+"/v2/runs", "application/json", strings.NewReader(body))
-		require.NoError(t, err)
-		defer resp.Body.Close()
-		b, err := io.ReadAll(resp.Body)
-		require.NoError(t, err)
-		return resp.StatusCode, strings.TrimSpace(string(b))
-	}
-	again := func(body string) (status int, why string) { // as users do; the budget fills up at first
-		for range 100 {
-			if status, why = post(body); status != http.StatusServiceUnavailable {
-				break
-			}
-			time.Sleep(20 * time.Millisecond)
+// submitter submits bodies to a server.
+type submitter struct {
+	t   *testing.T
+	url string
+}
+
+// once submits a body and returns the reply's status and text.
+func (s submitter) once(body string) (status int, text string) {
+	s.t.Helper()
+	resp, err := http.Post(s.url+"/v2/runs", "application/json", strings.NewReader(body))
+	require.NoError(s.t, err)
+	defer resp.Body.Close()
+	reply, err := io.ReadAll(resp.Body)
+	require.NoError(s.t, err)
+	return resp.StatusCode, strings.TrimSpace(string(reply))
+}
+
+// retrying submits a body until the server is not busy, as users do: its budget of calls is
+// empty at first.
+func (s submitter) retrying(body string) (status int, text string) {
+	s.t.Helper()
+	for range 100 {
+		if status, text = s.once(body); status != http.StatusServiceUnavailable {
+			break
 		}
-		return status, why
+		time.Sleep(20 * time.Millisecond)
 	}
-	const good = `{"Ref":"job-2","Docket":"c","Desk":"t","Form":"array","Urgency":"high","Sheets":2,"Cores":8.0,"Cards":0.0,` +
-		`"MemGb":1.0,"Build":"i","PullGb":1.0,"OneZone":false,"Apart":false,"Loaners":true,"ExpectedS":1.0,"BookmarkS":0.0,"StowS":0.0}`
+	return status, text
+}
+
+func TestBadBodiesAreNamedAndKnownJobsRecognised(t *testing.T) {
+	outside := httptest.NewServer(http.HandlerFunc(serveOutside))
+	t.Cleanup(outside.Close)
+	addr := strings.TrimPrefix(outside.URL, "http://")
+	cfg := core.Config{
+		Label: "n0", Zone: "a", Zones: []string{"a"},
+		MaxTxnOps: 12, MaxValueBytes: 4096,
+		Teams: []core.Team{{Name: "t", Limit: model.Resources{Cores: 8}}},
+	}
+	submit := submitter{t, startServer(t, cfg, state.New(addr, 1000, 500, 12, 1), cloud.New(addr, 50, 1), 20)}
 	require.Eventually(t, func() bool { // once the types are known
-		status, _ := post(strings.Replace(good, `"Cores":8.0`, `"Cores":9.0`, 1))
+		status, _ := submit.once(strings.Replace(goodSubmission, `"Cores":8.0`, `"Cores":9.0`, 1))
 		return status == http.StatusUnprocessableEntity
 	}, 10*time.Second, 20*time.Millisecond)
-	for _, c := range []struct {
+
+	for _, tc := range []struct {
 		from, to string
 		status   int
 		why      string
@@ -87,21 +96,22 @@
 		{`"Build":"i"`, `"Build":"` + strings.Repeat("i", 70000) + `"`, 400, "64 KiB"},
 		{`"Build":"i"`, `"Build":"` + strings.Repeat("i", 5000) + `"`, 422, "too long"},
 	} {
-		body := strings.Replace(good, c.from, c.to, 1)
-		status, why := again(body)
-		assert.Equal(t, c.status, status, "%.60s", c.to)
-		assert.Contains(t, why, c.why)
-		if c.to == `"Ref":"run-2"` || c.why == "64 KiB" {
-			continue // no job's id, or no request of the protocol whosever it is
+		body := strings.Replace(goodSubmission, tc.from, tc.to, 1)
+		status, text := submit.retrying(body)
+		assert.Equal(t, tc.status, status, "%.60s", tc.to)
+		assert.Contains(t, text, tc.why)
+		if tc.to == `"Ref":"run-2"` || tc.why == "64 KiB" {
+			continue // it has no job's id, or is not read at all
 		}
-		status, why = again(strings.Replace(body, "job-2", "job-1", 1))
-		assert.Equal(t, 200, status, "of a job that is known: %.60s", c.to)
-		assert.JSONEq(t, `{"Ref":"job-1","Standing":"pending","done":0,"running":0}`, why)
+		status, text = submit.retrying(strings.Replace(body, "job-2", "job-1", 1))
+		assert.Equal(t, 200, status, "of a job that is known: %.60s", tc.to)
+		assert.JSONEq(t, `{"Ref":"job-1","Standing":"pending","done":0,"running":0}`, text)
 	}
-	srv.Close()
-	status, _ := post(strings.Replace(good, `"Cores":8.0`, `"Cores":"8"`, 1))
-	assert.Equal(t, 503, status, "nobody can tell whether the job is known")
-	status, why := post("[]")
-	assert.Equal(t, 400, status, "which no id can change")
-	assert.Equal(t, "not a JSON object", why)
+
+	outside.Close()
+	status, _ := submit.once(strings.Replace(goodSubmission, `"Cores":8.0`, `"Cores":"8"`, 1))
+	assert.Equal(t, 503, status, "whether the job is known can't be read")
+	status, text := submit.once("[]")
+	assert.Equal(t, 400, status, "there is no id that could be known")
+	assert.Equal(t, "not a JSON object", text)
 }
