--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -17,6 +17,13 @@
 "workers":{"report_s":3,"lease_s":14,"cancel_s":44},"state":{"rps":150,"write_rps":50,"value_kb":16,"txn_ops":12},
 "cloud":{"rps":5,"list_lag_s":3},"resources":{"core_share":0.1,"memory_mb":100,"fd_limit":100}}}`
 
+// withReplaced is good with one text replaced.
+func withReplaced(t *testing.T, from, to string) []byte {
+	t.Helper()
+	require.Contains(t, good, from)
+	return []byte(strings.Replace(good, from, to, 1))
+}
+
 func TestSettingsAreReadAndUnknownFieldsIgnored(t *testing.T) {
 	s, err := Parse([]byte(good))
 	require.NoError(t, err)
@@ -25,14 +32,19 @@
 }
 
 func TestATeamMayHaveNoGuaranteeAndNoLimit(t *testing.T) {
-	for _, team := range []string{`{"name":"t"}`, `{"name":"t","cpus":0,"cpus_max":0.0}`, `{"name":"t","cpus":8}`, `{"name":"t","cpus":8,"cpus_max":0}`} {
-		_, err := Parse([]byte(strings.Replace(good, `{"name":"t","cpus":8,"cpus_max":16}`, team, 1)))
+	for _, team := range []string{
+		`{"name":"t"}`,
+		`{"name":"t","cpus":0,"cpus_max":0.0}`,
+		`{"name":"t","cpus":8}`,
+		`{"name":"t","cpus":8,"cpus_max":0}`,
+	} {
+		_, err := Parse(withReplaced(t, `{"name":"t","cpus":8,"cpus_max":16}`, team))
 		assert.NoError(t, err, team)
 	}
 }
 
 func TestImpossibleSettingsAreNamed(t *testing.T) {
-	for _, c := range []struct{ from, to, field string }{
+	for _, tc := range []struct{ from, to, field string }{
 		{`"zones":["z","y"]`, `"zones":[]`, "deployment.zones"},
 		{`"cpus":8`, `"cpus":17`, "deployment.teams[0].cpus"},
 		{`"cpus":8`, `"cpus":-1`, "deployment.teams[0]"},
@@ -45,38 +57,55 @@
 		{`"txn_ops":12`, `"txn_ops":2`, "deployment.state.txn_ops: 2 is too few, at least 3"},
 		{`"cpus":8`, `"gpus":9,"gpus_max":8,"cpus":8`, "deployment.teams[0].gpus: guarantee 9 is above gpus_max 8"},
 	} {
-		_, err := Parse([]byte(strings.Replace(good, c.from, c.to, 1)))
-		require.Error(t, err, c.to)
-		assert.Contains(t, err.Error(), c.field)
+		_, err := Parse(withReplaced(t, tc.from, tc.to))
+		require.Error(t, err, tc.to)
+		assert.Contains(t, err.Error(), tc.field)
 		assert.NotContains(t, err.Error(), "\n")
 	}
 }
 
-func TestWhatRunsPoorlyStartsWithAWarning(t *testing.T) {
+func TestErrorsOfSettingsAreTyped(t *testing.T) {
+	_, err := Parse(withReplaced(t, `"label":"n1"`, `"label":"n0"`))
+	var fieldErr *FieldError
+	require.ErrorAs(t, err, &fieldErr)
+	assert.Equal(t, "others[0].label", fieldErr.Field)
+	assert.EqualError(t, err, "settings: others[0].label: missing or not unique")
+
+	_, err = Parse(withReplaced(t, `"label":"n0"`, `"label":7`))
+	assert.EqualError(t, err, "settings: json: cannot unmarshal number into Go struct field Settings.label of type string")
+
+	_, err = ParseOperator([]byte("[parts]\nhold_s = -1\n"))
+	var operatorErr *OperatorError
+	require.ErrorAs(t, err, &operatorErr)
+	assert.Equal(t, "hold_s", operatorErr.Key)
+	assert.EqualError(t, err, `operator settings: [parts] hold_s: "-1" is not a number from 1 to 600`)
+}
+
+func TestSettingsThatRunPoorlyGiveAWarning(t *testing.T) {
 	s, err := Parse([]byte(good))
 	require.NoError(t, err)
 	assert.Empty(t, s.Warnings(DefaultOperator()))
-	for _, c := range []struct{ from, to, field string }{
+	for _, tc := range []struct{ from, to, field string }{
 		{`"rps":150`, `"rps":5`, "deployment.state.rps: 5 is little for 2 controllers, 6 would do"},
 		{`"write_rps":50`, `"write_rps":1.5`, "deployment.state.write_rps"},
 		{`"rps":5`, `"rps":0.1`, "deployment.cloud.rps"},
 		{`"memory_mb":100`, `"memory_mb":8`, "deployment.resources.memory_mb"},
 		{`"fd_limit":100`, `"fd_limit":50`, "deployment.resources.fd_limit"},
 	} {
-		s, err := Parse([]byte(strings.Replace(good, c.from, c.to, 1)))
-		require.NoError(t, err, c.to)
+		s, err := Parse(withReplaced(t, tc.from, tc.to))
+		require.NoError(t, err, tc.to)
 		warnings := s.Warnings(DefaultOperator())
-		require.Len(t, warnings, 1, c.to)
-		assert.Contains(t, warnings[0], c.field)
+		require.Len(t, warnings, 1, tc.to)
+		assert.Contains(t, warnings[0], tc.field)
 	}
 }
 
-func TestTimesThatDontGoTogetherAreNamed(t *testing.T) {
+func TestConflictingTimesGiveAWarning(t *testing.T) {
 	const was = `"report_s":3,"lease_s":14,"cancel_s":44`
-	for _, c := range []struct {
+	for _, tc := range []struct {
 		report, lease, cancel float64
 		grace                 float64
-		warn                  string // none if empty
+		warning               string // none if empty
 	}{
 		{3, 14, 44, 2, ""},
 		{2.5, 14, 44, 2, ""},
@@ -84,83 +113,94 @@
 		{6, 36, 66, 2, ""},
 		{5, 26.5, 56.5, 2, ""},
 		{3, 14, 22, 2, ""},
-		{3, 14, 18, 2, "deployment.workers.cancel_s: 18 is so close to lease_s, 14, that a controller which loses the state service while another is down answers its workers for 1.8 s only; 22 would do"},
-		{3, 14, 16, 2, "deployment.workers.cancel_s: with 16 no worker can ever be answered, since its lease of 14 s must be over by then; 22 would do"},
+		{3, 14, 18, 2, "deployment.workers.cancel_s: 18 is so close to lease_s, 14, that a controller " +
+			"which loses the state service while another is down answers its workers for 1.8 s only; 22 would do"},
+		{3, 14, 16, 2, "deployment.workers.cancel_s: with 16 no worker can ever be answered, " +
+			"since its lease of 14 s must be over by then; 22 would do"},
 		{8, 38, 40, 2, "deployment.workers.cancel_s: with 40 no worker"},
 		{8, 20, 58, 2, "deployment.workers.report_s: 8 is more than a third of lease_s, 20"},
 		{3, 10, 44, 2, ""},
-		{3, 9, 44, 2, "deployment.workers.lease_s: 9 is less than the 9.2 s in which workers find another controller at best"},
-		{8, 38, 58, 25, "[parts] grace_s: 25 is too long: with it workers find another zone's controller in 44.0 s at best, and lease_s is 38"},
+		{3, 9, 44, 2, "deployment.workers.lease_s: 9 is less than the 9.2 s in which workers find " +
+			"another controller at best"},
+		{8, 38, 58, 25, "[parts] grace_s: 25 is too long: with it workers find another zone's controller " +
+			"in 44.0 s at best, and lease_s is 38"},
 		{8, 38, 58, 10, ""},
 	} {
 		o := DefaultOperator()
-		o.TakeoverDelaySeconds = c.grace
-		s, err := Parse([]byte(strings.Replace(good, was, fmt.Sprintf(`"report_s":%g,"lease_s":%g,"cancel_s":%g`, c.report, c.lease, c.cancel), 1)))
+		o.TakeoverDelaySeconds = tc.grace
+		times := fmt.Sprintf(`"report_s":%g,"lease_s":%g,"cancel_s":%g`, tc.report, tc.lease, tc.cancel)
+		s, err := Parse(withReplaced(t, was, times))
 		require.NoError(t, err)
 		got := s.Warnings(o)
-		if c.warn == "" {
-			assert.Empty(t, got, c)
+		if tc.warning == "" {
+			assert.Empty(t, got, tc)
 			continue
 		}
-		require.Len(t, got, 1, "%v", c)
-		assert.Contains(t, got[0], c.warn)
+		require.Len(t, got, 1, "%v", tc)
+		assert.Contains(t, got[0], tc.warning)
 	}
 }
 
-func TestWhatIsTooSmallForTheZonesIsNamed(t *testing.T) {
-	zones := func(n int) string {
-		var list []string
-		for i := range n {
-			list = append(list, fmt.Sprintf("%q", fmt.Sprintf("zone-%d", i)))
-		}
-		return strings.Join(list, ",")
-	}
-	for _, c := range []struct {
+func TestBudgetsTooSmallForTheZonesGiveAWarning(t *testing.T) {
+	const txnOps, valueKB, writeRPS = `"txn_ops":12`, `"value_kb":16`, `"write_rps":50`
+	for _, tc := range []struct {
 		zones    int
 		from, to string
-		warn     string
+		warning  string // none if empty
 	}{
-		{3, `"txn_ops":12`, `"txn_ops":12`, ""},
-		{3, `"txn_ops":12`, `"txn_ops":3`, "deployment.state.txn_ops: 3 is little for a job that goes to all zones at once, 4 would do"},
-		{11, `"txn_ops":12`, `"txn_ops":12`, ""},
-		{12, `"txn_ops":12`, `"txn_ops":12`, "deployment.state.txn_ops: 12 is little"},
-		{3, `"value_kb":16`, `"value_kb":1`, "deployment.state.value_kb: 1 is little for what is kept of a job's tasks and of each zone, 2 would do"},
-		{11, `"value_kb":16`, `"value_kb":2`, ""},
-		{200, `"txn_ops":12`, `"txn_ops":300`, "deployment.state.write_rps: 50 is little"},
-		{400, `"write_rps":50,"value_kb":16,"txn_ops":12`, `"write_rps":500,"value_kb":16,"txn_ops":500`, "deployment.state.value_kb: 16 is little"},
-		{8, `"write_rps":50`, `"write_rps":5`, "deployment.state.write_rps: 5 is little for 2 controllers, 9 would do"},
+		{3, txnOps, txnOps, ""},
+		{3, txnOps, `"txn_ops":3`, "deployment.state.txn_ops: 3 is little " +
+			"for a job that goes to all zones at once, 4 would do"},
+		{11, txnOps, txnOps, ""},
+		{12, txnOps, txnOps, "deployment.state.txn_ops: 12 is little"},
+		{3, valueKB, `"value_kb":1`, "deployment.state.value_kb: 1 is little " +
+			"for what is kept of a job's tasks and of each zone, 2 would do"},
+		{11, valueKB, `"value_kb":2`, ""},
+		{200, txnOps, `"txn_ops":300`, "deployment.state.write_rps: 50 is little"},
+		{400, writeRPS + "," + valueKB + "," + txnOps, `"write_rps":500,"value_kb":16,"txn_ops":500`,
+			"deployment.state.value_kb: 16 is little"},
+		{8, writeRPS, `"write_rps":5`, "deployment.state.write_rps: 5 is little for 2 controllers, 9 would do"},
 	} {
-		text := strings.Replace(good, c.from, c.to, 1)
-		text = strings.Replace(text, `"zones":["z","y"]`, `"zones":["z","y",`+zones(c.zones-2)+`]`, 1)
+		zones := []string{`"z"`, `"y"`}
+		for i := range tc.zones - len(zones) {
+			zones = append(zones, fmt.Sprintf(`"zone-%d"`, i))
+		}
+		text := string(withReplaced(t, tc.from, tc.to))
+		text = strings.Replace(text, `"zones":["z","y"]`, `"zones":[`+strings.Join(zones, ",")+`]`, 1)
 		s, err := Parse([]byte(text))
-		require.NoError(t, err, c.to)
+		require.NoError(t, err, tc.to)
+		require.Len(t, s.Deployment.Zones, tc.zones)
 		got := s.smallBudgets()
-		if c.warn == "" {
-			assert.Empty(t, got, c.to)
+		if tc.warning == "" {
+			assert.Empty(t, got, tc.to)
 			continue
 		}
-		require.Len(t, got, 1, "%v", c)
-		assert.Contains(t, got[0], c.warn)
+		require.Len(t, got, 1, "%v", tc)
+		assert.Contains(t, got[0], tc.warning)
 	}
 }
 
 func TestZonesWithoutAControllerAndControllersInNoZoneAreNamed(t *testing.T) {
-	for _, c := range []struct {
+	const zones = `"zones":["z","y"]`
+	for _, tc := range []struct {
 		from, to string
-		warn     []string
+		warnings []string
 	}{
-		{`"zones":["z","y"]`, `"zones":["z"]`, []string{`others[0].location: "y" is none of deployment.zones`}},
-		{`"zones":["z","y"]`, `"zones":["y"]`, []string{`location: "z" is none of deployment.zones`}},
-		{`"zones":["z","y"]`, `"zones":["z","y","x","w"]`, []string{"deployment.zones: no controller is in x, w:"}},
+		{zones, `"zones":["z"]`, []string{`others[0].location: "y" is none of deployment.zones`}},
+		{zones, `"zones":["y"]`, []string{`location: "z" is none of deployment.zones`}},
+		{zones, `"zones":["z","y","x","w"]`, []string{"deployment.zones: no controller is in x, w:"}},
 		{`"location":"y"`, `"location":"z"`, []string{"deployment.zones: no controller is in y:"}},
-		{`"zones":["z","y"]`, `"zones":["z","x"]`, []string{`others[0].location: "y"`, "deployment.zones: no controller is in x:"}},
+		{zones, `"zones":["z","x"]`, []string{
+			`others[0].location: "y"`,
+			"deployment.zones: no controller is in x:",
+		}},
 	} {
-		s, err := Parse([]byte(strings.Replace(good, c.from, c.to, 1)))
-		require.NoError(t, err, c.to)
+		s, err := Parse(withReplaced(t, tc.from, tc.to))
+		require.NoError(t, err, tc.to)
 		got := s.Warnings(DefaultOperator())
-		require.Len(t, got, len(c.warn), c.to)
+		require.Len(t, got, len(tc.warnings), tc.to)
 		for i := range got {
-			assert.Contains(t, got[i], c.warn[i])
+			assert.Contains(t, got[i], tc.warnings[i])
 		}
 	}
 }
@@ -170,27 +210,35 @@
 	require.NoError(t, err)
 	assert.Equal(t, 60.0, o.KeepIdleSeconds)
 	assert.Equal(t, DefaultOperator().LeaseTTLSeconds, o.LeaseTTLSeconds)
-	for _, bad := range []string{"[hiring]\nkeep_idle = 60\n", "[hiring]\nkeep_idle_s = soon\n", "[parts]\nhold_s = -1\n", "[other]\nx = 1\n"} {
+	for _, bad := range []string{
+		"[hiring]\nkeep_idle = 60\n",
+		"[hiring]\nkeep_idle_s = soon\n",
+		"[parts]\nhold_s = -1\n",
+		"[other]\nx = 1\n",
+	} {
 		_, err := ParseOperator([]byte(bad))
 		assert.Error(t, err, bad)
 	}
 }
 
-func TestReadmeNamesEveryKnobWithItsDefault(t *testing.T) {
+func TestReadmeNamesEverySettingWithItsDefault(t *testing.T) {
 	readme, err := os.ReadFile("../../README.md")
 	require.NoError(t, err)
-	for _, k := range OperatorSettings() {
-		assert.Contains(t, string(readme), "| `"+k.Section+"` | `"+k.Key+"` | "+k.Default+" |")
+	for _, setting := range OperatorSettings() {
+		row := fmt.Sprintf("| `%s` | `%s` | %s |", setting.Section, setting.Key, setting.Default)
+		assert.Contains(t, string(readme), row)
 	}
 }
 
-func TestMoreMachinesThanControllersCanHearGiveAWarning(t *testing.T) {
-	s, err := Parse([]byte(good)) // two controllers with a tenth of a core, a report every 3 s
+func TestMoreMachinesThanControllersCanServeGiveAWarning(t *testing.T) {
+	s, err := Parse([]byte(good)) // two controllers with a tenth of a core, a heartbeat every 3 s
 	require.NoError(t, err)
 	for machines, want := range map[float64]string{
 		0: "", 500: "",
-		900:  "900 machines report 300 times a second; a controller with 0.1 of a core takes about 200: one that is left alone",
-		4000: "4000 machines report 1333 times a second; a controller with 0.1 of a core takes about 200, 2 of them 400: more controllers",
+		900: "900 machines report 300 times a second; a controller with 0.1 of a core takes about 200: " +
+			"one that is left alone",
+		4000: "4000 machines report 1333 times a second; a controller with 0.1 of a core takes about 200, " +
+			"2 of them 400: more controllers",
 	} {
 		o := DefaultOperator()
 		o.Machines = machines
--- a/internal/service/service.go
+++ b/internal/service/service.go
@@ -135,11 +135,11 @@
 	}
 	for _, ob := range d.Objectives {
 		switch {
-		case ob.Kind == "finished" && ob.WithinS > 0:
-			cfg.CompletionObjectives[ob.Class] = append(cfg.CompletionObjectives[ob.Class], ob.WithinS)
-		case ob.Kind == "wait" && ob.WithinS > 0:
-			if was, ok := cfg.StartObjectives[ob.Class]; !ok || ob.WithinS < was {
-				cfg.StartObjectives[ob.Class] = ob.WithinS
+		case ob.Kind == "finished" && ob.WithinSeconds > 0:
+			cfg.CompletionObjectives[ob.Class] = append(cfg.CompletionObjectives[ob.Class], ob.WithinSeconds)
+		case ob.Kind == "wait" && ob.WithinSeconds > 0:
+			if was, ok := cfg.StartObjectives[ob.Class]; !ok || ob.WithinSeconds < was {
+				cfg.StartObjectives[ob.Class] = ob.WithinSeconds
 			}
 		case ob.Kind == "deadline" && ob.Times > 0:
 			cfg.DeadlineObjectives[ob.Class] = append(cfg.DeadlineObjectives[ob.Class], ob.Times)
