--- a/cmd/roadcleat/root.go
+++ b/cmd/roadcleat/root.go
@@ -1,6 +1,7 @@
 package main
 
 import (
+	"context"
 	"errors"
 	"fmt"
 	"io"
@@ -32,7 +33,7 @@
 	root.SetArgs(args)
 	root.SetOut(stdout)
 	root.SetErr(stderr)
-	err := root.Execute()
+	err := root.ExecuteContext(context.Background())
 	if err == nil {
 		return 0
 	}
--- a/internal/service/service.go
+++ b/internal/service/service.go
@@ -1,4 +1,7 @@
 // Package service puts a controller together from its settings.
+//
+// Run opens the listeners first, so that a wrong address ends the start before anything else
+// has begun, and has ended all goroutines that it started when it returns.
 package service
 
 import (
@@ -11,8 +14,8 @@
 	"os"
 	"runtime"
 	"runtime/debug"
-	"slices"
 	"strings"
+	"sync"
 
 	"roadcleat/internal/agent"
 	"roadcleat/internal/api"
@@ -20,93 +23,105 @@
 	"roadcleat/internal/config"
 	"roadcleat/internal/core"
 	"roadcleat/internal/metrics"
-	"roadcleat/internal/model"
 	"roadcleat/internal/peer"
 	rt "roadcleat/internal/runtime"
 	"roadcleat/internal/state"
 )
 
+// budgetShare is the share of the budgets of the state service and the cloud that the
+// controllers use together; the rest is a margin.
+const budgetShare = 0.93
+
+const (
+	// memoryLimitShare is the Go memory limit's share of the memory granted.
+	memoryLimitShare = 0.6
+
+	// gcPercent makes garbage collections rarer below the memory limit, to save processor
+	// time.
+	gcPercent = 300
+)
+
+// logLevelEnv names the log level: "debug", "info", or errors only.
+const logLevelEnv = "LOG_LEVEL"
+
 // Run runs a controller until the context ends or it can't go on.
 func Run(ctx context.Context, s *config.Settings, o *config.Operator, logTo io.Writer) error {
-	if ctx == nil {
-		ctx = context.Background()
-	}
 	limitProcess(s)
-	log := slog.New(slog.NewTextHandler(logTo, &slog.HandlerOptions{Level: level(os.Getenv("LOG_LEVEL"))}))
-
-	for _, w := range s.Warnings(o) {
-		log.Warn("settings", "field", w)
+	log := slog.New(slog.NewTextHandler(logTo, &slog.HandlerOptions{Level: logLevel(os.Getenv(logLevelEnv))}))
+	for _, warning := range s.Warnings(o) {
+		log.Warn("settings", "field", warning)
 	}
-	apiLn, err := net.Listen("tcp", s.APIAddr)
+	apiListener, err := net.Listen("tcp", s.APIAddr)
 	if err != nil {
 		return fmt.Errorf("api_addr: %w", err)
 	}
-	defer apiLn.Close()
-	peerLn, err := net.Listen("tcp", s.PeerListen)
+	defer apiListener.Close()
+	peerListener, err := net.Listen("tcp", s.PeerListen)
 	if err != nil {
 		return fmt.Errorf("peer_listen: %w", err)
 	}
-	defer peerLn.Close()
+	defer peerListener.Close()
 
-	share := 1 / float64(1+len(s.Others))
-	d := &s.Deployment
-	st := state.New(s.External.State, 0.93*d.State.RPS, 0.93*d.State.WriteRPS, d.State.TxnOps, share)
-	cl := cloud.New(s.External.Cloud, 0.93*d.Cloud.RPS, share)
-	var links []*peer.Link
-	var labels []string
-	for _, other := range s.Others {
-		links = append(links, peer.NewLink(s.Label, other.PeerAddr, log))
-		labels = append(labels, other.Label)
-	}
-	seen := metrics.New()
-	b := socketsFor(s)
-	bounds := rt.Bounds{WorkerCalls: b.workers, Requests: b.callers}
-	r := rt.New(core.New(CoreConfig(s, o, rand.Uint64())), st, cl, agent.New(b.workers), bounds, links, seen, log)
-	for _, l := range links {
-		go l.Run(ctx)
+	links, labels := peersOf(s, log)
+	collector := metrics.New()
+	sockets := socketsFor(s)
+	controller := newRuntime(s, o, sockets, links, collector, log)
+
+	ctx, cancel := context.WithCancel(ctx)
+	var background sync.WaitGroup
+	defer background.Wait()
+	defer cancel()
+	for _, link := range links {
+		background.Go(func() { link.Run(ctx) })
 	}
-	go peer.Serve(ctx, peerLn, labels, peer.MessageBytes(d.Resources.MemoryMB), r.Deliver, log)
-	go r.Run(ctx)
+	background.Go(func() {
+		maxMessage := peer.MessageBytes(s.Deployment.Resources.MemoryMB)
+		peer.Serve(ctx, peerListener, labels, maxMessage, controller.Deliver, log)
+	})
+	background.Go(func() { controller.Run(ctx) })
 	log.Info("controller started", "label", s.Label, "zone", s.Location)
-	return api.New(r, seen, log).Serve(ctx, apiLn, b.callers, config.Seconds(d.Workers.HeartbeatSeconds))
+	heartbeatInterval := config.Seconds(s.Deployment.Workers.HeartbeatSeconds)
+	return api.New(controller, collector, log).Serve(ctx, apiListener, sockets.callers, heartbeatInterval)
 }
 
-// sockets is how the sockets that this controller may have are divided.
-type sockets struct {
-	callers int // users, workers, health checks
-	workers int // calls to workers
+// peersOf makes a link to each other controller; labels are theirs, in the same order.
+func peersOf(s *config.Settings, log *slog.Logger) (links []*peer.Link, labels []string) {
+	for _, other := range s.Others {
+		links = append(links, peer.NewLink(s.Label, other.PeerAddr, log))
+		labels = append(labels, other.Label)
+	}
+	return links, labels
 }
 
-// defaultSockets is how many sockets are used where the settings name no limit.
-const defaultSockets = 16384
-
-// socketsFor divides them: some for the state service, the cloud, the other
-// controllers and what is just being closed, a fifth of the rest for calls to
-// workers, the remainder to those who call.
-func socketsFor(s *config.Settings) sockets {
-	all := s.Deployment.Resources.FDLimit
-	if all <= 0 {
-		all = defaultSockets
-	}
-	rest := all - min(64+8*len(s.Others), all/3)
-	workers := max(rest/5, 4)
-	return sockets{callers: rest - workers, workers: workers}
+// newRuntime makes the runtime with its core and clients. The clients begin with an equal
+// share of the budgets.
+func newRuntime(s *config.Settings, o *config.Operator, sockets sockets, links []*peer.Link,
+	collector *metrics.Set, log *slog.Logger) *rt.Runtime {
+	d := &s.Deployment
+	share := 1 / float64(1+len(s.Others))
+	requests, changes := budgetShare*d.State.RPS, budgetShare*d.State.WriteRPS
+	stateClient := state.New(s.External.State, requests, changes, d.State.TxnOps, share)
+	cloudClient := cloud.New(s.External.Cloud, budgetShare*d.Cloud.RPS, share)
+	workers := agent.New(sockets.workers)
+	bounds := rt.Bounds{WorkerCalls: sockets.workers, Requests: sockets.callers}
+	c := core.New(CoreConfig(s, o, rand.Uint64()))
+	return rt.New(c, stateClient, cloudClient, workers, bounds, links, collector, log)
 }
 
-// limitProcess keeps the process within its machine.
+// limitProcess keeps the process within the share of its machine that the settings grant.
 func limitProcess(s *config.Settings) {
-	r := s.Deployment.Resources
-	if r.CoreShare > 0 {
-		runtime.GOMAXPROCS(max(int(r.CoreShare+0.999), 1))
+	granted := s.Deployment.Resources
+	if granted.CoreShare > 0 {
+		runtime.GOMAXPROCS(max(int(granted.CoreShare+0.999), 1))
 	}
-	if r.MemoryMB > 0 {
-		debug.SetMemoryLimit(int64(r.MemoryMB * 0.6 * (1 << 20)))
-		debug.SetGCPercent(300)
+	if granted.MemoryMB > 0 {
+		debug.SetMemoryLimit(int64(granted.MemoryMB * memoryLimitShare * (1 << 20)))
+		debug.SetGCPercent(gcPercent)
 	}
 }
 
-func level(s string) slog.Level {
-	switch strings.ToLower(s) {
+func logLevel(name string) slog.Level {
+	switch strings.ToLower(name) {
 	case "debug":
 		return slog.LevelDebug
 	case "info":
@@ -114,41 +129,3 @@
 	}
 	return slog.LevelError
 }
-
-// CoreConfig turns the settings into the core's terms.
-func CoreConfig(s *config.Settings, o *config.Operator, boot uint64) core.Config {
-	d := &s.Deployment
-	sec := config.Seconds
-	cfg := core.Config{
-		Label: s.Label, Zone: s.Location, Zones: d.Zones, CompletionObjectives: map[string][]float64{}, DeadlineObjectives: map[string][]float64{}, StartObjectives: map[string]float64{},
-		HeartbeatInterval: sec(d.Workers.HeartbeatSeconds), WorkerLease: sec(d.Workers.LeaseSeconds), CancelWithin: sec(d.Workers.CancelSeconds),
-		MaxWorkerCalls: socketsFor(s).workers, ListLag: sec(d.Cloud.ListLagSeconds), MaxTxnOps: d.State.TxnOps, WritesPerSecond: d.State.WriteRPS, MaxValueBytes: int(d.State.ValueKB * 1024),
-		Epoch: boot, Seed: boot,
-		Tuning: o.Tuning(),
-	}
-	for _, other := range s.Others {
-		cfg.Peers = append(cfg.Peers, core.PeerConfig{Label: other.Label, Zone: other.Location})
-	}
-	for _, t := range d.Teams {
-		cfg.Teams = append(cfg.Teams, core.Team{Name: t.Name, Guarantee: model.Resources{Cores: t.CPUs, GPUs: t.GPUs},
-			Limit: model.Resources{Cores: t.CPUsMax, GPUs: t.GPUsMax}})
-	}
-	for _, ob := range d.Objectives {
-		switch {
-		case ob.Kind == "finished" && ob.WithinSeconds > 0:
-			cfg.CompletionObjectives[ob.Class] = append(cfg.CompletionObjectives[ob.Class], ob.WithinSeconds)
-		case ob.Kind == "wait" && ob.WithinSeconds > 0:
-			if was, ok := cfg.StartObjectives[ob.Class]; !ok || ob.WithinSeconds < was {
-				cfg.StartObjectives[ob.Class] = ob.WithinSeconds
-			}
-		case ob.Kind == "deadline" && ob.Times > 0:
-			cfg.DeadlineObjectives[ob.Class] = append(cfg.DeadlineObjectives[ob.Class], ob.Times)
-		}
-	}
-	for _, aims := range []map[string][]float64{cfg.CompletionObjectives, cfg.DeadlineObjectives} {
-		for _, list := range aims {
-			slices.Sort(list)
-		}
-	}
-	return cfg
-}
--- a/internal/service/service_test.go
+++ b/internal/service/service_test.go
@@ -19,20 +19,21 @@
 
 // freeAddr is a loopback address that was free a moment ago.
 func freeAddr(t *testing.T) string {
+	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	defer ln.Close()
 	return ln.Addr().String()
 }
 
-// TestAControllerAloneAnswersHonestly starts a whole controller whose state
-// service and cloud can't be reached.
+// TestAControllerAloneAnswersHonestly starts a whole controller whose state service and cloud
+// can't be reached.
 func TestAControllerAloneAnswersHonestly(t *testing.T) {
 	addr := freeAddr(t)
-	settings, err := config.Parse([]byte(fmt.Sprintf(`{"label":"n0","location":"z","api_addr":%q,"peer_listen":%q,
+	settings, err := config.Parse(fmt.Appendf(nil, `{"label":"n0","location":"z","api_addr":%q,"peer_listen":%q,
 "others":[],"external":{"cloud":%q,"state":%q},"deployment":{"zones":["z"],"teams":[{"name":"t","cpus":8,"cpus_max":16}],
 "workers":{"report_s":3,"lease_s":14,"cancel_s":44},"state":{"rps":150,"write_rps":50,"value_kb":16,"txn_ops":12},
-"cloud":{"rps":5,"list_lag_s":3}}}`, addr, freeAddr(t), freeAddr(t), freeAddr(t))))
+"cloud":{"rps":5,"list_lag_s":3}}}`, addr, freeAddr(t), freeAddr(t), freeAddr(t)))
 	require.NoError(t, err)
 	ctx, cancel := context.WithCancel(context.Background())
 	ended := make(chan error, 1)
@@ -41,7 +42,8 @@
 		cancel()
 		assert.NoError(t, <-ended)
 	})
-	ask := func(method, path, body string) (*http.Response, string) {
+	request := func(method, path, body string) (*http.Response, string) {
+		t.Helper()
 		req, err := http.NewRequest(method, "http://"+addr+path, strings.NewReader(body))
 		require.NoError(t, err)
 		resp, err := http.DefaultClient.Do(req)
@@ -60,21 +62,21 @@
 		return resp.StatusCode == http.StatusServiceUnavailable
 	}, 10*time.Second, 50*time.Millisecond, "not healthy before it has seen the state service")
 
-	resp, _ := ask("POST", "/v2/runs", "no json")
+	resp, _ := request("POST", "/v2/runs", "no json")
 	assert.Equal(t, 400, resp.StatusCode)
-	resp, _ = ask("POST", "/v2/runs", `{"Ref":"job-000001","pad":"`+strings.Repeat("x", 65<<10)+`"}`)
+	resp, _ = request("POST", "/v2/runs", `{"Ref":"job-000001","pad":"`+strings.Repeat("x", 65<<10)+`"}`)
 	assert.Equal(t, 400, resp.StatusCode)
-	resp, _ = ask("POST", "/v2/runs", `{"Ref":"job-000001"}`)
+	resp, _ = request("POST", "/v2/runs", `{"Ref":"job-000001"}`)
 	assert.Equal(t, 503, resp.StatusCode, "malformed, but it may be a repeat of a known job")
 	assert.NotEmpty(t, resp.Header.Get("Retry-After"))
-	resp, _ = ask("GET", "/v2/runs/job-000001", "")
+	resp, _ = request("GET", "/v2/runs/job-000001", "")
 	assert.Equal(t, 503, resp.StatusCode)
-	resp, _ = ask("POST", "/v2/runs/job-000001/withdraw", "")
+	resp, _ = request("POST", "/v2/runs/job-000001/withdraw", "")
 	assert.Equal(t, 503, resp.StatusCode)
-	resp, _ = ask("POST", "/agent/beat", `{"Host":"vm-1","Yard":"z","Shift":1,"Tally":1,"Baton":0,"Sheets":[]}`)
+	resp, _ = request("POST", "/agent/beat", `{"Host":"vm-1","Yard":"z","Shift":1,"Tally":1,"Baton":0,"Sheets":[]}`)
 	assert.Contains(t, []int{421, 503}, resp.StatusCode, "no token, no 200")
 
-	resp, text := ask("GET", "/status", "")
+	resp, text := request("GET", "/status", "")
 	require.Equal(t, 200, resp.StatusCode)
 	var status struct {
 		Label    string
@@ -83,10 +85,10 @@
 	require.NoError(t, json.Unmarshal([]byte(text), &status))
 	assert.Equal(t, "n0", status.Label)
 	assert.NotEmpty(t, status.Degraded)
-	resp, text = ask("GET", "/metrics", "")
+	resp, text = request("GET", "/metrics", "")
 	assert.Equal(t, 200, resp.StatusCode)
 	assert.Contains(t, text, `roadcleat_calls_total{call="hold",outcome="unknown"}`)
-	resp, _ = ask("GET", "/explain/job-000001", "")
+	resp, _ = request("GET", "/explain/job-000001", "")
 	assert.Equal(t, 404, resp.StatusCode)
 }
 
@@ -95,10 +97,10 @@
 		for _, others := range []int{0, 2, 6, 20} {
 			s := &config.Settings{Others: make([]config.Other, others)}
 			s.Deployment.Resources.FDLimit = limit
-			b := socketsFor(s)
-			assert.Less(t, b.callers+b.workers, limit, "%d beside %d others", limit, others)
-			assert.Greater(t, b.callers, b.workers, "those who call have most")
-			assert.Positive(t, b.workers)
+			got := socketsFor(s)
+			assert.Less(t, got.callers+got.workers, limit, "%d beside %d others", limit, others)
+			assert.Greater(t, got.callers, got.workers, "those who call have most")
+			assert.Positive(t, got.workers)
 		}
 	}
 }
