--- a/cmd/roadcleat/root.go
+++ b/cmd/roadcleat/root.go
@@ -15,17 +15,23 @@
 // version is the release this binary belongs to.
 const version = "0.1.0"
 
-// Exit statuses beside 0 and 1: wrong settings ended the start; status found something
-// that has waited too long.
+// Exit statuses.
 const (
+	exitOK       = 0
+	exitError    = 1
 	exitSettings = 2
 	exitStuck    = 3
 )
 
 // settingsError marks errors of the settings.
-type settingsError struct{ error }
+type settingsError struct{ err error }
 
-func (e settingsError) Unwrap() error { return e.error }
+func (e *settingsError) Error() string { return e.err.Error() }
+
+func (e *settingsError) Unwrap() error { return e.err }
+
+// errNoConfig is the error of a command without a settings file.
+var errNoConfig = errors.New("--config: a settings file is needed")
 
 // execute runs the command line and returns the exit status.
 func execute(args []string, stdout, stderr io.Writer) int {
@@ -34,88 +40,88 @@
 	root.SetOut(stdout)
 	root.SetErr(stderr)
 	err := root.ExecuteContext(context.Background())
-	if err == nil {
-		return 0
+	if err != nil {
+		fmt.Fprintln(stderr, "roadcleat:", err)
 	}
-	fmt.Fprintln(stderr, "roadcleat:", err)
-	if errors.As(err, new(settingsError)) {
+	return exitStatus(err)
+}
+
+func exitStatus(err error) int {
+	var settingsErr *settingsError
+	var stuckErr *stuckError
+	switch {
+	case err == nil:
+		return exitOK
+	case errors.As(err, &settingsErr):
 		return exitSettings
-	}
-	if errors.As(err, new(stuckError)) {
+	case errors.As(err, &stuckErr):
 		return exitStuck
+	default:
+		return exitError
 	}
-	return 1
 }
 
-func newRoot() *cobra.Command {
-	var configPath, operatorPath string
-	load := func() (*config.Settings, *config.Operator, error) {
-		if configPath == "" {
-			return nil, nil, settingsError{errors.New("--config: a settings file is needed")}
-		}
-		s, err := config.Load(configPath)
-		if err != nil {
-			return nil, nil, settingsError{err}
-		}
-		o, err := config.LoadOperator(operatorPath)
-		if err != nil {
-			return nil, nil, settingsError{err}
-		}
-		return s, o, nil
+// settingsFiles are the flags that name the files with settings.
+type settingsFiles struct{ platform, operator string }
+
+// load reads and checks both files. Its errors are settingsErrors.
+func (f *settingsFiles) load() (*config.Settings, *config.Operator, error) {
+	if f.platform == "" {
+		return nil, nil, &settingsError{errNoConfig}
+	}
+	s, err := config.Load(f.platform)
+	if err != nil {
+		return nil, nil, &settingsError{err}
 	}
+	o, err := config.LoadOperator(f.operator)
+	if err != nil {
+		return nil, nil, &settingsError{err}
+	}
+	return s, o, nil
+}
+
+// queryFlags are the flags of commands that ask a running controller.
+type queryFlags struct {
+	addr string
+	json bool
+}
+
+func (f *queryFlags) add(cmd *cobra.Command) {
+	cmd.Flags().StringVar(&f.addr, "addr", "", "the controller's api_addr, HOST:PORT")
+	cmd.Flags().BoolVar(&f.json, "json", false, "print JSON")
+}
+
+func newRoot() *cobra.Command {
+	var files settingsFiles
 	root := &cobra.Command{
-		Use: "roadcleat", Short: "A cluster scheduler's controller",
-		Args: cobra.NoArgs, SilenceUsage: true, SilenceErrors: true,
+		Use:           "roadcleat",
+		Short:         "A cluster scheduler's controller",
+		Args:          cobra.NoArgs,
+		SilenceUsage:  true,
+		SilenceErrors: true,
 		RunE: func(cmd *cobra.Command, _ []string) error {
-			s, o, err := load()
+			s, o, err := files.load()
 			if err != nil {
 				return err
 			}
 			return service.Run(cmd.Context(), s, o, cmd.ErrOrStderr())
 		},
 	}
-	root.PersistentFlags().StringVar(&configPath, "config", "", "the platform's settings file (JSON)")
-	root.PersistentFlags().StringVar(&operatorPath, "operator", "", "the operators' settings file (INI); default: $"+config.OperatorEnv)
-	root.AddCommand(statusCommand(), explainCommand(), &cobra.Command{
-		Use: "check", Short: "Check the settings and print what is in force", Args: cobra.NoArgs,
-		RunE: func(cmd *cobra.Command, _ []string) error {
-			s, o, err := load()
-			if err != nil {
-				return err
-			}
-			return printSettings(cmd.OutOrStdout(), s, o)
-		},
-	}, &cobra.Command{
-		Use: "version", Short: "Print the version", Args: cobra.NoArgs,
-		RunE: func(cmd *cobra.Command, _ []string) error {
-			_, err := fmt.Fprintln(cmd.OutOrStdout(), "roadcleat", version)
-			return err
-		},
-	})
+	flags := root.PersistentFlags()
+	flags.StringVar(&files.platform, "config", "", "the platform's settings file (JSON)")
+	flags.StringVar(&files.operator, "operator", "", "the operators' settings file (INI); default: $"+config.OperatorEnv)
+	root.AddCommand(statusCommand(), explainCommand(), checkCommand(&files), versionCommand())
 	return root
 }
 
-func printSettings(w io.Writer, s *config.Settings, o *config.Operator) error {
-	d := s.Deployment
-	if _, err := fmt.Fprintf(w, "controller %s in %s, %d others, %d zones, %d teams\nstate service %s: %g requests, %g changes a second\ncloud %s: %g calls a second\nworkers: report %gs, lease %gs, cancel %gs\n",
-		s.Label, s.Location, len(s.Others), len(d.Zones), len(d.Teams), s.External.State, d.State.RPS, d.State.WriteRPS,
-		s.External.Cloud, d.Cloud.RPS, d.Workers.HeartbeatSeconds, d.Workers.LeaseSeconds, d.Workers.CancelSeconds); err != nil {
-		return err
-	}
-	for _, warning := range s.Warnings(o) {
-		if _, err := fmt.Fprintln(w, "warning:", warning); err != nil {
-			return err
-		}
-	}
-	inForce := o.Effective(&d.Workers)
-	for _, k := range config.OperatorSettings() {
-		note := ""
-		if v := k.Value(inForce); v != k.Value(o) {
-			note = " (" + v + " in force)"
-		}
-		if _, err := fmt.Fprintf(w, "[%s] %s = %s%s\n", k.Section, k.Key, k.Value(o), note); err != nil {
+func versionCommand() *cobra.Command {
+	return &cobra.Command{
+		Use:   "version",
+		Short: "Print the version",
+		Args:  cobra.NoArgs,
+		RunE: func(cmd *cobra.Command, _ []string) error {
+			_, err := fmt.Fprintln(cmd.OutOrStdout(), "roadcleat", version)
 			return err
-		}
+		},
 	}
-	return nil
 }
