--- a/internal/service/service_test.go
+++ b/internal/service/service_test.go
@@ -26,12 +26,14 @@
 	return ln.Addr().String()
 }
 
-// TestAControllerAloneAnswersHonestly starts a whole controller whose state service and cloud
-// can't be reached.
-func TestAControllerAloneAnswersHonestly(t *testing.T) {
-	addr := freeAddr(t)
+// startAlone starts a whole controller whose state service and cloud can't be reached, and
+// returns its address. It ends with the test, which fails if it ends with an error.
+func startAlone(t *testing.T) (addr string) {
+	t.Helper()
+	addr = freeAddr(t)
 	settings, err := config.Parse(fmt.Appendf(nil, `{"label":"n0","location":"z","api_addr":%q,"peer_listen":%q,
-"others":[],"external":{"cloud":%q,"state":%q},"deployment":{"zones":["z"],"teams":[{"name":"t","cpus":8,"cpus_max":16}],
+"others":[],"external":{"cloud":%q,"state":%q},
+"deployment":{"zones":["z"],"teams":[{"name":"t","cpus":8,"cpus_max":16}],
 "workers":{"report_s":3,"lease_s":14,"cancel_s":44},"state":{"rps":150,"write_rps":50,"value_kb":16,"txn_ops":12},
 "cloud":{"rps":5,"list_lag_s":3}}}`, addr, freeAddr(t), freeAddr(t), freeAddr(t)))
 	require.NoError(t, err)
@@ -42,6 +44,11 @@
 		cancel()
 		assert.NoError(t, <-ended)
 	})
+	return addr
+}
+
+func TestAControllerAloneAnswersHonestly(t *testing.T) {
+	addr := startAlone(t)
 	request := func(method, path, body string) (*http.Response, string) {
 		t.Helper()
 		req, err := http.NewRequest(method, "http://"+addr+path, strings.NewReader(body))
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -2,9 +2,9 @@
 // and model.
 //
 // The protocol has field names, endpoint paths and values of its own ("Shift", "/holds",
-// "withdrawn"). They occur only here, in JSON tags and string constants; everything else
-// uses the names of the Go fields. Encoders write fields in a fixed order. Decoders ignore
-// fields that they do not know.
+// "withdrawn"). Apart from the simulated users of internal/fake and tests, they occur only
+// here, in JSON tags and string constants; everything else uses the names of the Go fields.
+// Encoders write fields in a fixed order. Decoders ignore fields that they do not know.
 package wire
 
 import (
