--- a/internal/core/effects.go
+++ b/internal/core/effects.go
@@ -2,6 +2,7 @@
 
 import (
 	"log/slog"
+
 	"roadcleat/internal/model"
 )
 
--- a/internal/core/hostlist.go
+++ b/internal/core/hostlist.go
@@ -27,7 +27,7 @@
 
 // Boot times, see bootSeconds and bootTimeout.
 const (
-	bootMargin             = 1.2
+	listedBootMargin       = 1.2
 	bootTimeoutFactor      = 2.5
 	bootTimeoutExtra       = 10 // seconds
 	unknownTypeBootSeconds = 60
@@ -152,7 +152,7 @@
 // catalogue states.
 func (c *Core) bootSeconds(typ string) float64 {
 	if i := c.typeIndex.lookup(typ); i >= 0 {
-		return c.types[i].BootSeconds * bootMargin
+		return c.types[i].BootSeconds * listedBootMargin
 	}
 	return unknownTypeBootSeconds
 }
--- a/internal/core/operations.go
+++ b/internal/core/operations.go
@@ -1,8 +1,9 @@
 package core
 
 import (
-	"roadcleat/internal/model"
 	"time"
+
+	"roadcleat/internal/model"
 )
 
 // Condition is a condition of a transaction: the key has this revision. Revision 0 means
--- a/internal/core/order.go
+++ b/internal/core/order.go
@@ -3,8 +3,9 @@
 import (
 	"cmp"
 	"maps"
-	"roadcleat/internal/model"
 	"slices"
+
+	"roadcleat/internal/model"
 )
 
 // sorted lists a map's keys in order: what the core does must depend on its events alone, so
--- a/internal/core/recordsize_test.go
+++ b/internal/core/recordsize_test.go
@@ -3,9 +3,10 @@
 import (
 	"fmt"
 	"math/rand/v2"
+	"testing"
+
 	"roadcleat/internal/model"
 	"roadcleat/internal/records"
-	"testing"
 
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
--- a/internal/core/rentals.go
+++ b/internal/core/rentals.go
@@ -13,8 +13,8 @@
 	maxPendingRentals = 4
 	// exhaustedFor is how long a kind that the cloud refused counts as not available.
 	exhaustedFor = 20 * time.Second
-	// bootMargin is by what factor a boot is expected to take longer than stated.
-	bootMargin = 1.1
+	// rentedBootMargin is by what factor a boot is expected to take longer than stated.
+	rentedBootMargin = 1.1
 )
 
 // rental is a request for machines under way. Its name is never used for anything else; a
@@ -122,7 +122,7 @@
 		host := c.hostByName(shard, name)
 		host.typeIndex, host.spot = r.typeIndex, r.request.Spot
 		host.rentedAt = r.requestedAt
-		host.expectedUpAt = r.requestedAt + duration(boot*bootMargin)
+		host.expectedUpAt = r.requestedAt + duration(boot*rentedBootMargin)
 		host.giveUpAt = r.requestedAt + c.bootTimeout(boot)
 		if host.incarnation == 0 {
 			host.state = hostBooting
--- a/internal/fake/walk.go
+++ b/internal/fake/walk.go
@@ -3,6 +3,7 @@
 import (
 	"fmt"
 	"iter"
+
 	"roadcleat/internal/model"
 )
 
