--- a/internal/core/recording.go
+++ b/internal/core/recording.go
@@ -130,7 +130,7 @@
 // appendPlacements notes the placements that the transaction records, and reports whether
 // there are any.
 func (c *Core) appendPlacements(shard *Shard, pending *pendingTxn, assignment *Assignment) bool {
-	any := false
+	found := false
 	for _, i := range sorted(assignment.tasks) {
 		task := assignment.tasks[i]
 		if task == nil || task.phase != taskPlacing {
@@ -142,10 +142,10 @@
 			c.rollBackPlacement(shard, task)
 			continue
 		}
-		any = true
+		found = true
 		pending.placements = append(pending.placements, task)
 	}
-	return any
+	return found
 }
 
 // appendGrants has the shard's grant of a team grow, if its placements need that.
--- a/internal/core/taskmove.go
+++ b/internal/core/taskmove.go
@@ -105,9 +105,9 @@
 	if move.emptied {
 		delete(move.moved.split, shard.name)
 	}
-	txn := c.moveTxn(move)
+	pending := c.moveTxn(move)
 	revision := assignment.revision
-	txn.onRollBack = func() {
+	pending.onRollBack = func() {
 		for _, i := range move.indices {
 			if assignment.revision == revision && assignment.tasks[i] == nil && !assignment.done.Has(i) {
 				assignment.waiting.Add(i)
@@ -119,42 +119,33 @@
 	c.stats.Rebalanced += uint64(len(move.indices))
 	c.info("tasks moved", "job", job.id, "tasks", len(move.indices),
 		"from", shard.name, "to", move.to.name, "token", shard.claim.Token())
-	c.sendTxn(txn)
+	c.sendTxn(pending)
 }
 
 // moveTxn is the transaction of a move. It holds only if nobody has changed the job or either
 // assignment since they were read.
 func (c *Core) moveTxn(move *taskMove) *pendingTxn {
 	shard, assignment, job := move.from, move.assignment, move.job
+	ownKey, jobValue := records.AssignmentKey(shard.name, job.id), move.moved.encode("")
 	move.target.Job, move.target.JobRevision = move.moved.record(""), 0
 	targetValue := c.encodeAssignment(&move.target)
-	var ownValue []byte // nil removes the key
-	if !move.emptied {
-		ownValue = c.encodeAssignment(assignment.record(&move.moved, 0))
-	}
-	ownKey, jobValue := records.AssignmentKey(shard.name, job.id), move.moved.encode("")
-	txn := &pendingTxn{
-		shard:            shard,
-		jobChanges:       []Item{{Key: job.key(), Value: jobValue}},
-		movedAssignments: []Item{{Key: move.targetKey, Value: targetValue}},
-	}
+
+	pending := newPendingTxn(shard)
+	pending.addCondition(ownKey, assignment.revision)
+	pending.addCondition(job.key(), job.revision)
+	pending.addCondition(move.targetKey, move.targetRevision)
 	if move.emptied {
-		txn.droppedJobs = []string{job.id}
+		pending.delete(ownKey)
+		pending.droppedJobs = []string{job.id}
 	} else {
-		txn.assignments = map[string]*Assignment{job.id: assignment}
-	}
-	txn.txn.Conditions = []Condition{
-		shard.ownerCondition(),
-		{ownKey, assignment.revision},
-		{job.key(), job.revision},
-		{move.targetKey, move.targetRevision},
-	}
-	txn.txn.Mutations = []Mutation{
-		{Key: ownKey, Value: ownValue},
-		{Key: move.targetKey, Value: targetValue},
-		{Key: job.key(), Value: jobValue},
+		pending.put(ownKey, c.encodeAssignment(assignment.record(&move.moved, 0)))
+		pending.assignments[job.id] = assignment
 	}
-	return txn
+	pending.put(move.targetKey, targetValue)
+	pending.put(job.key(), jobValue)
+	pending.jobChanges = []Item{{Key: job.key(), Value: jobValue}}
+	pending.movedAssignments = []Item{{Key: move.targetKey, Value: targetValue}}
+	return pending
 }
 
 // checkForMovedTasks reads an assignment without waiting tasks again when tasks of its job have
--- a/internal/fake/recorded_test.go
+++ b/internal/fake/recorded_test.go
@@ -108,10 +108,10 @@
 	w.Run(30 * time.Second)
 	seen := 0
 	for _, node := range w.Nodes {
-		for _, part := range node.Core.Status().Shards {
-			if part.OwnedHere {
-				assert.True(t, part.Loaded, "%s owns %s and has read all of it", node.Name, part.Zone)
-				seen += part.Jobs
+		for _, shard := range node.Core.Status().Shards {
+			if shard.OwnedHere {
+				assert.True(t, shard.Loaded, "%s owns %s and has read all of it", node.Name, shard.Zone)
+				seen += shard.Jobs
 			}
 		}
 	}
