--- a/internal/core/preemption.go
+++ b/internal/core/preemption.go
@@ -172,7 +172,7 @@
 		until = max(until, c.now+duration(gracePeriod)+preemptionTime)
 		c.stats.Preempted++
 		c.info("task preempted", "job", task.id.Job, "task", task.id.Index, "host", offer.host.name,
-			"shard", shard.name, "for", job.id, "leeway", gracePeriod)
+			"shard", shard.name, "for", job.id, "grace_period_s", gracePeriod)
 		c.stopTask(shard, task, gracePeriod)
 	}
 	offer.victims, offer.free = offer.victims[stopped:], free.Minus(job.spec.Need)
