--- a/internal/fake/play.go
+++ b/internal/fake/play.go
@@ -7,13 +7,14 @@
 	"time"
 )
 
-// Verdict is what became of a script.
+// Verdict is the result of playing a script.
 type Verdict struct {
-	Broken    []string // what was wrong, in the order in which it was seen
-	Injected  []bool   // by strike of the script: whether its moment came
+	Broken    []string // the rules broken, in the order in which that was seen
+	Injected  []bool   // by fault of the script: whether its moment came
 	StepsSeen map[Step]int
 	Starts    int
-	// Meetings counts starts after a confirmed cancellation, which break no rule by themselves.
+	// AfterCancel counts starts after a confirmed cancellation, which break no rule by
+	// themselves.
 	AfterCancel int
 	Ended       time.Duration
 }
@@ -23,20 +24,22 @@
 	if len(v.Broken) == 0 {
 		return ""
 	}
-	_, rest, _ := strings.Cut(v.Broken[0], " ")
+	_, rest, _ := strings.Cut(v.Broken[0], " ") // after the time
 	rule, _, _ := strings.Cut(rest, ":")
 	return rule
 }
 
-// How long a day goes on after its last trouble.
+// How long a day continues after its last fault.
 const (
 	settleWithin = 10 * time.Minute // all that can end must have ended
 	afterwards   = time.Minute      // for what comes late
+	// replicaMargin is added to the time within which replicas must be there.
+	replicaMargin = 15 * time.Second
 )
 
-// settles is how long all that can end may take: twice as long in worlds in which a
-// team's limit is below the usual, where its work comes faster than it may run.
-func (s Script) settles() time.Duration {
+// settleTime is how long all that can end may take. It is twice as long in worlds where a
+// team's limit is below the usual, since jobs come faster there than they may run.
+func (s Script) settleTime() time.Duration {
 	usual := Settings().Teams
 	for i, t := range s.World.Teams {
 		if i < len(usual) && t.Limit.Cores < usual[i].Limit.Cores {
@@ -46,8 +49,8 @@
 	return settleWithin
 }
 
-// Play plays the script. A panic in it counts as a broken rule. log, if any, hears all
-// that happens.
+// Play plays the script. A panic in it counts as a broken rule. log, if any, gets all log
+// events.
 func (s Script) Play(log func(string, ...any)) Verdict {
 	w := s.build()
 	if log != nil {
@@ -67,17 +70,10 @@
 	jobs := s.submit(w)
 	s.arm(w, &v)
 	w.Run(s.lastAt() + time.Second)
-	over := func() bool { return allOver(jobs) }
-	if w.Until(s.settles(), func() bool { return w.Now > w.FaultsOverAt && (over() || services(jobs) != nil) }); !over() {
-		w.Run(replicaBy + 15*time.Second) // replicas must be there by then
-	}
-	for _, j := range services(jobs) {
-		w.Cancel(j)
-	}
-	w.Until(s.settles(), over)
+	s.settle(w, jobs)
 	for _, j := range jobs {
 		if !j.ended() {
-			w.Referee.broken("not_over", "%s has %d of %d tasks done", j.Spec.ID, len(j.Finished), j.Spec.Tasks)
+			w.Referee.violation("not_over", "%s has %d of %d tasks done", j.Spec.ID, len(j.Finished), j.Spec.Tasks)
 			w.explain(j)
 		}
 	}
@@ -87,6 +83,24 @@
 	return v
 }
 
+// settle lets all jobs end once the faults are over. Services get the time to start all
+// their replicas, then they are cancelled.
+func (s Script) settle(w *World, jobs []*Job) {
+	allEnded := func() bool {
+		return !slices.ContainsFunc(jobs, func(j *Job) bool { return !j.ended() })
+	}
+	w.Until(s.settleTime(), func() bool {
+		return w.Now > w.FaultsOverAt && (allEnded() || len(services(jobs)) > 0)
+	})
+	if !allEnded() {
+		w.Run(replicaBy + replicaMargin)
+	}
+	for _, j := range services(jobs) {
+		w.Cancel(j)
+	}
+	w.Until(s.settleTime(), allEnded)
+}
+
 // submit has users submit the script's jobs, and cancel some.
 func (s Script) submit(w *World) []*Job {
 	jobs := make([]*Job, len(s.Jobs))
@@ -104,7 +118,7 @@
 	return jobs
 }
 
-// cancelAccepted has a user cancel a job, once it is accepted.
+// cancelAccepted has a user cancel a job as soon as it is accepted.
 func (w *World) cancelAccepted(job *Job) {
 	switch {
 	case job.Accepted && !job.CancelRequested:
@@ -114,13 +128,6 @@
 	}
 }
 
-// ended says whether the job is over for its user, refused for good included.
-func (j *Job) ended() bool { return j.Over() || j.Refused }
-
-func allOver(jobs []*Job) bool {
-	return !slices.ContainsFunc(jobs, func(j *Job) bool { return !j.ended() })
-}
-
 // services lists the services that nobody has cancelled.
 func services(jobs []*Job) (list []*Job) {
 	for _, j := range jobs {
@@ -143,12 +150,8 @@
 	return seconds(last)
 }
 
-// arm sets the strikes up.
+// arm schedules the faults that have a time and watches for the moments of the others.
 func (s Script) arm(w *World, v *Verdict) {
-	counts := map[Step]map[Phase]int{}
-	for _, step := range Steps {
-		counts[step] = map[Phase]int{}
-	}
 	for i, x := range s.Steps {
 		if x.Step == "" {
 			w.After(seconds(x.At), func() {
@@ -157,13 +160,20 @@
 			})
 		}
 	}
+	type stepPhase struct {
+		step  Step
+		phase Phase
+	}
+	counts := map[stepPhase]int{}
 	w.OnMoment = func(m Moment) {
-		counts[m.Step][m.Phase]++
+		at := stepPhase{m.Step, m.Phase}
+		counts[at]++
 		if m.Phase == During {
 			v.StepsSeen[m.Step]++
 		}
 		for i, x := range s.Steps {
-			if !v.Injected[i] && x.Step == m.Step && x.Phase == m.Phase && x.N == counts[m.Step][m.Phase] {
+			// An injected fault may bring further moments, so the count can change here.
+			if !v.Injected[i] && x.Step == m.Step && x.Phase == m.Phase && x.N == counts[at] {
 				v.Injected[i] = true
 				x.inject(w, m)
 			}
@@ -171,8 +181,20 @@
 	}
 }
 
-// inject has the trouble happen to whom the moment concerns, or whom the script names.
+// inject has the fault happen, after its delay if it has one.
 func (x InjectedFault) inject(w *World, m Moment) {
+	at := x.target(w, m)
+	fault, _ := FaultNamed(x.Fault)
+	if x.Delay > 0 {
+		w.extendFaults(seconds(x.Delay))
+		w.After(seconds(x.Delay), func() { fault.Inject(w, at, seconds(x.For)) })
+		return
+	}
+	fault.Inject(w, at, seconds(x.For))
+}
+
+// target is whom the script names, or else whom the moment concerns.
+func (x InjectedFault) target(w *World, m Moment) Target {
 	at := Target{m.Node, m.Worker, m.Job}
 	if at.Node == nil && at.Worker != nil {
 		at.Node = w.OwnerOf(at.Worker.zone)
@@ -180,31 +202,33 @@
 	if at.Node == nil {
 		at.Node = w.Nodes[0]
 	}
-	for i, node := range w.Nodes {
-		if node.Name == x.Node {
-			at.Node = node
-		}
-		if x.Node == "other" && node == at.Node {
-			at.Node = w.Nodes[(i+1)%len(w.Nodes)]
-			break
-		}
-	}
+	at.Node = x.targetNode(w, at.Node)
 	if alive := w.Alive(); x.Machine > 0 && len(alive) > 0 {
 		at.Worker = alive[(x.Machine-1)%len(alive)]
 	} else if at.Worker == nil {
 		at.Worker = w.busyMachine(at)
 	}
-	t, _ := FaultNamed(x.Fault)
-	if x.Delay > 0 {
-		w.extendFaults(seconds(x.Delay))
-		w.After(seconds(x.Delay), func() { t.Inject(w, at, seconds(x.For)) })
-		return
+	return at
+}
+
+// otherNode as a fault's node means the one after the node that the moment concerns.
+const otherNode = "other"
+
+// targetNode is the node that the script names, or else the one concerned.
+func (x InjectedFault) targetNode(w *World, concerned *Node) *Node {
+	for i, node := range w.Nodes {
+		if node.Name == x.Node {
+			return node
+		}
+		if x.Node == otherNode && node == concerned {
+			return w.Nodes[(i+1)%len(w.Nodes)]
+		}
 	}
-	t.Inject(w, at, seconds(x.For))
+	return concerned
 }
 
-// busyMachine is a machine with tasks: of the target's job, if there is one, else of a
-// zone that its controller owns, else any.
+// busyMachine is a machine with tasks: of the target's job, else of a zone that its
+// controller owns, else any; nil if there is none.
 func (w *World) busyMachine(at Target) *Worker {
 	var owned, first *Worker
 	for _, worker := range w.Alive() {
--- a/internal/fake/script.go
+++ b/internal/fake/script.go
@@ -11,9 +11,9 @@
 	"roadcleat/internal/model"
 )
 
-// Script is a day as a value: a world, what users want of it, and what goes wrong when.
-// The same script always gives the same verdict. Times are in seconds from the day's
-// start. As text it is JSON.
+// Script is a simulated day as a value: a world, the jobs that users submit, and the faults
+// that are injected. The same script always gives the same verdict. Times are in seconds
+// from the day's start. As text it is JSON.
 type Script struct {
 	Seed  uint64          `json:"seed,omitempty"`
 	World Setting         `json:"world"`
@@ -21,23 +21,24 @@
 	Steps []InjectedFault `json:"steps,omitempty"`
 }
 
-// Setting is what a script's world is like; what is left out is as in Settings.
+// Setting says in what a script's world differs from Settings.
 type Setting struct {
 	Zones       []string            `json:"zones,omitempty"`
 	Controllers []string            `json:"controllers,omitempty"` // their zones; none: one in each
 	Teams       []core.Team         `json:"teams,omitempty"`
 	Types       []model.MachineType `json:"types,omitempty"`
 	Room        int                 `json:"room,omitempty"`        // machines of each type, zone and kind
-	ValueBytes  int                 `json:"value_bytes,omitempty"` // limit of a value in the store
+	ValueBytes  int                 `json:"value_bytes,omitempty"` // limit of a value in the state service
 	Boot        [2]float64          `json:"boot,omitempty"`        // fastest and slowest; none: by type
-	Keep        int                 `json:"keep,omitempty"`        // changes that the store keeps
-	// Until when the following goes on, and for which share of calls or machines.
+	Keep        int                 `json:"keep,omitempty"`        // changes kept for watches
+
+	// Noise is until when the following happen, each to a share of calls or machines.
 	Noise      float64 `json:"noise,omitempty"`
-	Lost       float64 `json:"lost,omitempty"`      // transactions without answer, carried out up to 8 s later
-	Slow       float64 `json:"slow,omitempty"`      // seconds that a transaction takes
-	Copies     float64 `json:"copies,omitempty"`    // reports of which a copy comes up to 40 s later
-	Repeated   float64 `json:"again,omitempty"`     // requests carried out again up to 20 s later
-	LateRental float64 `json:"late_hire,omitempty"` // rentals without answer, carried out up to 20 s later
+	Lost       float64 `json:"lost,omitempty"`      // transactions without reply, executed up to 8 s later
+	Slow       float64 `json:"slow,omitempty"`      // no share, but seconds that a transaction takes
+	Copies     float64 `json:"copies,omitempty"`    // heartbeats of which a copy arrives up to 40 s later
+	Repeated   float64 `json:"again,omitempty"`     // requests executed again up to 20 s later
+	LateRental float64 `json:"late_hire,omitempty"` // rentals without reply, executed up to 20 s later
 	NeverUp    float64 `json:"never_up,omitempty"`  // machines that never come up
 }
 
@@ -51,8 +52,8 @@
 	Broken bool          `json:"broken,omitempty"`
 }
 
-// InjectedFault is a trouble, and when and whom it strikes: at a time, or at a phase of the Nth
-// occurrence of a step.
+// InjectedFault is a fault with its time and target. It happens at a time, or at a phase of
+// the Nth occurrence of a step.
 type InjectedFault struct {
 	At      float64 `json:"at,omitempty"`
 	Step    Step    `json:"step,omitempty"`
@@ -61,21 +62,21 @@
 	Fault   string  `json:"trouble"`
 	Delay   float64 `json:"delay,omitempty"` // after the moment
 	For     float64 `json:"for,omitempty"`
-	Node    string  `json:"node,omitempty"`    // a name, "other", or none for whom the moment concerns
-	Machine int     `json:"machine,omitempty"` // which of those alive, or 0 for the one the moment concerns
+	Node    string  `json:"node,omitempty"`    // a name, "other", or none for the one that the moment concerns
+	Machine int     `json:"machine,omitempty"` // which of those alive, or 0 for the one that the moment concerns
 }
 
 // String is the script as one line of JSON.
 func (s Script) String() string {
 	b, err := json.Marshal(s)
 	if err != nil {
-		return err.Error() // a number that is none
+		return err.Error() // an infinite number
 	}
 	return string(b)
 }
 
-// ReadScript reads a script. It refuses what the script can't be played with: unknown
-// fields, troubles, steps and phases, and jobs that are named twice.
+// ReadScript reads a script. It refuses one that can't be played: with unknown fields,
+// faults, steps or phases, or with jobs named twice.
 func ReadScript(r io.Reader) (Script, error) {
 	var s Script
 	d := json.NewDecoder(r)
@@ -98,94 +99,16 @@
 		if _, ok := FaultNamed(x.Fault); !ok {
 			return fmt.Errorf("script: step %d: unknown trouble %q", i, x.Fault)
 		}
-		if x.Step != "" && (!slices.Contains(Steps, x.Step) || !slices.Contains(Phases, x.Phase) || x.N < 1) {
+		if x.Step != "" && !x.momentExists() {
 			return fmt.Errorf("script: step %d: no such moment: %s %q, occurrence %d", i, x.Phase, x.Step, x.N)
 		}
 	}
 	return nil
 }
 
-func (s Setting) config() core.Config {
-	cfg := Settings()
-	if len(s.Zones) > 0 {
-		cfg.Zones = s.Zones
-	}
-	if len(s.Teams) > 0 {
-		cfg.Teams = s.Teams
-	}
-	if s.ValueBytes > 0 {
-		cfg.MaxValueBytes = s.ValueBytes
-	}
-	return cfg
-}
-
-// build makes the script's world.
-func (s Script) build() *World {
-	cfg, set := s.World.config(), s.World
-	controllers := cfg.Zones
-	if len(set.Controllers) > 0 {
-		controllers = set.Controllers
-	}
-	w := NewWith(s.Seed, cfg, controllers...)
-	noise := seconds(set.Noise)
-	happens := func(share float64) bool { return w.Now < noise && share > 0 && w.Rng.Float64() < share }
-	upTo := func(d time.Duration) time.Duration { return time.Duration(w.Rng.Float64() * float64(d)) }
-	if noise > 0 {
-		w.extendFaults(noise)
-		w.Store.slowFor(seconds(set.Slow), noise)
-	}
-	w.Store.Keep = set.Keep
-	w.Store.Lose = func(string, core.Txn) (bool, time.Duration) { return happens(set.Lost), upTo(8 * time.Second) }
-	w.Copies = func(*Worker) []time.Duration {
-		if !happens(set.Copies) {
-			return nil
-		}
-		return []time.Duration{time.Second + upTo(40*time.Second)}
-	}
-	w.RepeatRequest = func(string, core.Operation) time.Duration {
-		if !happens(set.Repeated) {
-			return 0
-		}
-		return time.Millisecond + upTo(20*time.Second)
-	}
-	w.Cloud.LateRental = func(core.RentHosts) time.Duration {
-		if !happens(set.LateRental) {
-			return 0
-		}
-		return time.Second + upTo(20*time.Second)
-	}
-	if len(set.Types) > 0 {
-		w.Cloud.offer(set.Types)
-	}
-	if set.Room > 0 {
-		for k := range w.Cloud.Room {
-			w.Cloud.Room[k] = set.Room
-		}
-	}
-	if b := set.Boot; b[1] > 0 {
-		w.Cloud.BootS = func(string) float64 {
-			if happens(set.NeverUp) {
-				return -1
-			}
-			return b[0] + (b[1]-b[0])*w.Rng.Float64()
-		}
-	}
-	return w
-}
-
-// offer has the cloud rent machines of these types, two of each in each zone and of each
-// kind.
-func (c *Cloud) offer(types []model.MachineType) {
-	c.Types, c.Room = nil, map[string]int{}
-	for _, t := range types {
-		if len(t.Zones) == 0 {
-			t.Zones = c.w.Cfg.Zones
-		}
-		c.Types = append(c.Types, t)
-		for _, z := range t.Zones {
-			c.Room[roomKey(t.Name, z, true)], c.Room[roomKey(t.Name, z, false)] = 2, 2
-		}
-	}
+// momentExists says whether the moment of the fault can come.
+func (x InjectedFault) momentExists() bool {
+	return slices.Contains(Steps, x.Step) && slices.Contains(Phases, x.Phase) && x.N >= 1
 }
 
 func seconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
--- a/internal/fake/shrink.go
+++ b/internal/fake/shrink.go
@@ -2,13 +2,13 @@
 
 import "slices"
 
-// Shrink makes a script that breaks a rule shorter as long as it still breaks the same
-// one: it leaves out troubles, jobs, cancellations and what is special about the world,
-// and makes jobs smaller and troubles shorter. It plays at most so many days and returns
-// how many it played.
+// Shrink simplifies a script that breaks a rule as long as it still breaks the same one: it
+// leaves out faults, jobs, cancellations and what is special about the world, and makes
+// jobs smaller and faults shorter. It plays at most so many days and returns how many it
+// played.
 //
-// Generic shrinkers (pgregory.net/rapid is one) shrink the random draws that made a
-// value. Scripts also come from files and from the walk, which draws nothing.
+// Generic shrinkers such as pgregory.net/rapid shrink the random draws that made a value.
+// Scripts also come from files and from the walk, which draws nothing.
 func (s Script) Shrink(most int, play func(Script) Verdict) (Script, int) {
 	rule := play(s).Rule()
 	played := 1
@@ -24,11 +24,20 @@
 	}
 	for size := -1; size != s.size() && played < most; {
 		size = s.size()
-		s.Steps = shorten(s.Steps, func(x []InjectedFault) bool { t := s; t.Steps = x; return breaks(t) })
-		s.Jobs = shorten(s.Jobs, func(x []Request) bool { t := s; t.Jobs = x; return breaks(t) })
-		for _, simpler := range simplifications(s) {
+		s.Steps = shorten(s.Steps, func(x []InjectedFault) bool {
+			t := s
+			t.Steps = x
+			return breaks(t)
+		})
+		s.Jobs = shorten(s.Jobs, func(x []Request) bool {
+			t := s
+			t.Jobs = x
+			return breaks(t)
+		})
+		for _, simplify := range simplifications(s) {
 			t := s.clone()
-			if simpler(&t); t.String() != s.String() && breaks(t) {
+			simplify(&t)
+			if t.String() != s.String() && breaks(t) {
 				s = t
 			}
 		}
@@ -36,7 +45,7 @@
 	return s, played
 }
 
-// size is what shrinking makes less of.
+// size is the measure that shrinking reduces.
 func (s Script) size() int { return len(s.String()) }
 
 func (s Script) clone() Script {
@@ -45,7 +54,7 @@
 	return s
 }
 
-// shorten leaves out as much of a list as it can, large pieces first.
+// shorten leaves out as much of a list as ok allows, large pieces first.
 func shorten[T any](list []T, ok func([]T) bool) []T {
 	for piece := len(list); piece > 0; piece /= 2 {
 		for from := 0; from < len(list); {
@@ -85,7 +94,8 @@
 			func(t *Script) { t.Jobs[i].Spec.Tasks = (t.Jobs[i].Spec.Tasks + 1) / 2 },
 			func(t *Script) { t.Jobs[i].Spec.CheckpointSeconds, t.Jobs[i].Spec.SaveSeconds = 0, 0 },
 			func(t *Script) {
-				t.Jobs[i].Spec.OneZone, t.Jobs[i].Spec.SpreadZones, t.Jobs[i].Spec.Gang = false, false, false
+				spec := &t.Jobs[i].Spec
+				spec.OneZone, spec.SpreadZones, spec.Gang = false, false, false
 			},
 			func(t *Script) { t.Jobs[i].Spec.Types, t.Jobs[i].Spec.Zone = nil, "" })
 	}
