--- a/cmd/bounds/main_test.go
+++ b/cmd/bounds/main_test.go
@@ -50,7 +50,7 @@
 	assert.Greater(t, spread{Median: 2, P95: 9, Max: 15}.mean(), 2.0)
 }
 
-func TestASiteWithoutServicesAndCardsIsReportedAsEver(t *testing.T) {
+func TestReportOfASiteWithoutServicesAndGPUs(t *testing.T) {
 	var s site
 	_, err := toml.Decode(small, &s)
 	require.NoError(t, err)
@@ -112,7 +112,7 @@
 name = "d"
 `
 
-func TestBoundsOfServicesOnCards(t *testing.T) {
+func TestBoundsOfServicesOnGPUs(t *testing.T) {
 	var s site
 	_, err := toml.Decode(services, &s)
 	require.NoError(t, err)
@@ -120,11 +120,11 @@
 	part, binds := s.Types[0].share(live)
 	assert.Equal(t, 0.25, part)
 	assert.Equal(t, "cards", binds)
-	assert.Equal(t, 4.0, s.Types[0].cheapest(live), "it may not use spot machines")
+	assert.Equal(t, 4.0, s.Types[0].cheapest(live), "it may not use spot instances")
 	assert.InDelta(t, 30, s.alive(live, 0.4), 1e-9)
 	assert.InDelta(t, 30+0.3*100, s.alive(live, 100), 0.3)
 
-	luckiest := start{boot: true, fetch: true, luck: best}
+	luckiest := coldAtBest
 	assert.InDelta(t, 12+7.5, s.times(live, luckiest)[0], 1e-9, "0.6 of the boot, and 5 GB at four thirds of the rate")
 	luckiest.images = 2
 	assert.InDelta(t, 12+15, s.times(live, luckiest)[0], 1e-9, "two images share it")
@@ -140,7 +140,7 @@
 	later := start{fetch: true, luck: best}
 	assert.InDelta(t, 1-0.3*2.5/(30+0.3*45), s.upIn(live, 5, 49, 51, luckiest, later), 0.005)
 
-	assert.InDelta(t, 1-19.5/200, s.wornBound(start{boot: true, fetch: true, luck: best}), 1e-6)
+	assert.InDelta(t, 1-19.5/200, s.usefulTimeBound(start{boot: true, fetch: true, luck: best}), 1e-6)
 	var out strings.Builder
 	report(&out, &s)
 	for _, want := range []string{"30 tasks wanted at the start, 90 at the end; 4 on a m by cards, ordinary", "caches hold 8 GB (m)",
@@ -157,10 +157,10 @@
 	require.NoError(t, err)
 	s.Jobs = append(s.Jobs, job{Name: "sweep", GPUs: 1, Run: spread{Median: 100, P95: 100, Max: 100}, Error: 0.6})
 	s.Jobs[1].Deadline.Factor = 1
-	aim := target{Kind: "deadline", Class: "sweep"}
-	assert.InDelta(t, 0.5, s.deadlineBound(aim, start{}), 1e-9, "half of the estimates are too low")
-	aim.Times = 2
-	assert.InDelta(t, 0.876, s.deadlineBound(aim, start{}), 0.02, "one in eight is too low by half")
+	objective := target{Kind: "deadline", Class: "sweep"}
+	assert.InDelta(t, 0.5, s.deadlineBound(objective, start{}), 1e-9, "half of the estimates are too low")
+	objective.Times = 2
+	assert.InDelta(t, 0.876, s.deadlineBound(objective, start{}), 0.02, "one in eight is too low by half")
 }
 
 func TestTheShareBeyondIsThatOfTheLognormal(t *testing.T) {
