--- a/cmd/knownred/list.go
+++ b/cmd/knownred/list.go
@@ -1,6 +1,7 @@
 package main
 
 import (
+	"errors"
 	"fmt"
 	"os"
 	"regexp"
@@ -10,15 +11,15 @@
 // maxKnown is how many tests may be known to fail at a time.
 const maxKnown = 3
 
-// known is a test that fails for a fault that is known: where, its name, why, and the
-// issue that will mend it.
+// known is a test known to fail: its package and name, the cause, and the issue that will
+// fix it.
 type known struct {
 	pkg, test, cause, issue string
 }
 
 var issueForm = regexp.MustCompile(`^(issue )?#?[0-9]+$`)
 
-// loadList reads a list; one that does not exist is empty.
+// loadList reads the list of a file. A file that does not exist is an empty list.
 func loadList(path string) ([]known, error) {
 	data, err := os.ReadFile(path)
 	if os.IsNotExist(err) {
@@ -34,9 +35,9 @@
 	return list, nil
 }
 
-// parseList reads lines of the form "PACKAGE.TEST, CAUSE, ISSUE". The package is as
-// go test names it, or without the module in front. Empty lines and those that begin
-// with # are ignored.
+// parseList reads lines of the form "PACKAGE.TEST, CAUSE, ISSUE". The package is as go test
+// names it, with or without the module in front. Empty lines and those that begin with #
+// are ignored.
 func parseList(text string) ([]known, error) {
 	var list []known
 	for i, line := range strings.Split(text, "\n") {
@@ -44,38 +45,54 @@
 		if line == "" || line[0] == '#' {
 			continue
 		}
-		wrong := func(why string) ([]known, error) { return nil, fmt.Errorf("line %d: %s", i+1, why) }
-		name, rest, _ := strings.Cut(line, ",")
-		last := strings.LastIndex(rest, ",")
-		if last < 0 {
-			return wrong("must be: PACKAGE.TEST, CAUSE, ISSUE")
+		k, err := parseKnown(line)
+		if err == nil {
+			err = canAdd(list, k)
 		}
-		at := strings.Index(name, ".Test")
-		k := known{cause: strings.TrimSpace(rest[:last]), issue: strings.TrimSpace(rest[last+1:])}
-		if at > 0 {
-			k.pkg, k.test = strings.TrimSpace(name[:at]), strings.TrimSpace(name[at+1:])
-		}
-		switch {
-		case k.test == "":
-			return wrong("names no test of a package, such as internal/core.TestName")
-		case k.cause == "":
-			return wrong("names no cause")
-		case !issueForm.MatchString(k.issue):
-			return wrong("names no issue by its number")
-		case len(list) == maxKnown:
-			return wrong(fmt.Sprintf("more than %d tests", maxKnown))
-		}
-		for _, o := range list {
-			if o.pkg == k.pkg && o.test == k.test {
-				return wrong("names a test again")
-			}
+		if err != nil {
+			return nil, fmt.Errorf("line %d: %w", i+1, err)
 		}
 		list = append(list, k)
 	}
 	return list, nil
 }
 
-// is says whether the line means the test.
+// parseKnown reads one line of the list. The cause may contain commas.
+func parseKnown(line string) (known, error) {
+	name, rest, _ := strings.Cut(line, ",")
+	last := strings.LastIndex(rest, ",")
+	if last < 0 {
+		return known{}, errors.New("must be: PACKAGE.TEST, CAUSE, ISSUE")
+	}
+	k := known{cause: strings.TrimSpace(rest[:last]), issue: strings.TrimSpace(rest[last+1:])}
+	if dot := strings.Index(name, ".Test"); dot > 0 {
+		k.pkg, k.test = strings.TrimSpace(name[:dot]), strings.TrimSpace(name[dot+1:])
+	}
+	switch {
+	case k.test == "":
+		return known{}, errors.New("names no test of a package, such as internal/core.TestName")
+	case k.cause == "":
+		return known{}, errors.New("names no cause")
+	case !issueForm.MatchString(k.issue):
+		return known{}, errors.New("names no issue by its number")
+	}
+	return k, nil
+}
+
+// canAdd says why a test may not be added to the list, if so.
+func canAdd(list []known, k known) error {
+	if len(list) == maxKnown {
+		return fmt.Errorf("more than %d tests", maxKnown)
+	}
+	for _, other := range list {
+		if other.pkg == k.pkg && other.test == k.test {
+			return errors.New("names a test again")
+		}
+	}
+	return nil
+}
+
+// is says whether the entry names the test.
 func (k known) is(pkg, test string) bool {
 	return k.test == test && (k.pkg == pkg || strings.HasSuffix(pkg, "/"+k.pkg))
 }
--- a/cmd/knownred/main.go
+++ b/cmd/knownred/main.go
@@ -1,7 +1,7 @@
-// Command knownred runs the tests and passes over none that fail but those that a list
-// names: knownred LIST go test [flags] [packages]. It prints what go test prints of
-// failed tests, its closing line of each package, what the list excused and, last, a
-// line with the numbers of tests that passed and failed, those of the list included.
+// Command knownred runs go test and excuses the failures of the tests that a list names:
+// knownred LIST go test [flags] [packages]. It prints what go test prints of failed tests,
+// the last line of each package, what the list excused and, at the end, how many tests
+// passed and failed, including those of the list.
 package main
 
 import (
@@ -12,19 +12,26 @@
 	"slices"
 )
 
+// Exit statuses.
+const (
+	exitPassed = 0
+	exitFailed = 1
+	exitUsage  = 2
+)
+
 func main() { os.Exit(run(os.Args[1:], os.Stdout, os.Stderr)) }
 
-// run returns the exit status: 0 if everything passed or was excused, 1 if not, 2 if the
-// command line is wrong.
+// run returns the exit status: exitPassed if everything passed or was excused, exitUsage if
+// the command line is wrong, otherwise exitFailed.
 func run(args []string, out, errs io.Writer) int {
 	if len(args) < 3 || args[1] != "go" || args[2] != "test" {
 		fmt.Fprintln(errs, "usage: knownred LIST go test [flags] [packages]")
-		return 2
+		return exitUsage
 	}
 	list, err := loadList(args[0])
 	if err != nil {
 		fmt.Fprintln(errs, err)
-		return 1
+		return exitFailed
 	}
 	cmd := exec.Command("go", slices.Insert(slices.Clone(args[2:]), 1, "-json")...)
 	cmd.Stderr = errs
@@ -34,22 +41,22 @@
 	}
 	if err != nil {
 		fmt.Fprintln(errs, err)
-		return 1
+		return exitFailed
 	}
 	j := newJudge(list, out)
-	read := j.readAll(events)
-	ended := cmd.Wait()
-	if read != nil {
-		j.wrong("events of go test: %v", read)
+	readErr := j.readAll(events)
+	waitErr := cmd.Wait()
+	if readErr != nil {
+		j.fault("events of go test: %v", readErr)
 	}
 	switch {
-	case ended != nil && j.failed == 0:
-		j.wrong("go test: %v, though nothing failed", ended)
+	case waitErr != nil && j.failed == 0:
+		j.fault("go test: %v, though nothing failed", waitErr)
 	case j.passed+j.failed == 0:
-		j.wrong("no test ran")
+		j.fault("no test ran")
 	}
 	if !j.verdict() {
-		return 1
+		return exitFailed
 	}
-	return 0
+	return exitPassed
 }
--- a/cmd/knownred/main_test.go
+++ b/cmd/knownred/main_test.go
@@ -37,12 +37,12 @@
 		assert.Contains(t, err.Error(), why)
 	}
 	list, err = loadList(filepath.Join(t.TempDir(), "none"))
-	assert.NoError(t, err, "a list that is not there is empty")
+	assert.NoError(t, err, "a missing list is empty")
 	assert.Empty(t, list)
 }
 
-// module writes a module whose packages end in every way, and makes it the working
-// directory.
+// module writes a module whose packages pass and fail in every way, and makes it the
+// working directory.
 func module(t *testing.T) {
 	dir := t.TempDir()
 	for name, text := range map[string]string{
@@ -64,7 +64,7 @@
 	t.Setenv("GOFLAGS", "")
 }
 
-func TestOnlyWhatIsListedIsPassedOver(t *testing.T) {
+func TestOnlyListedFailuresAreExcused(t *testing.T) {
 	module(t)
 	for _, c := range []struct {
 		list, packages string
@@ -101,8 +101,8 @@
 	}
 }
 
-func TestARaceIsNeverPassedOver(t *testing.T) {
-	// As go test -race tells it.
+func TestARaceIsNeverExcused(t *testing.T) {
+	// What go test -race prints.
 	const events = `{"Action":"run","Package":"m/race","Test":"TestRaces"}
 {"Action":"output","Package":"m/race","Test":"TestRaces","Output":"=== RUN   TestRaces\n"}
 {"Action":"output","Package":"m/race","Test":"TestRaces","Output":"==================\n"}
@@ -122,7 +122,7 @@
 	}
 }
 
-func TestAStreamThatBreaksOffFails(t *testing.T) {
+func TestAnIncompleteStreamFails(t *testing.T) {
 	var out bytes.Buffer
 	j := newJudge(nil, &out)
 	require.NoError(t, j.readAll(strings.NewReader(`{"Action":"run","Package":"m/a","Test":"TestA"}`)))
@@ -130,7 +130,7 @@
 	assert.Contains(t, out.String(), "m/a did not end")
 }
 
-func TestWrongUseIsTold(t *testing.T) {
+func TestWrongUsageIsReported(t *testing.T) {
 	var out bytes.Buffer
 	assert.Equal(t, 2, run([]string{"LIST", "go", "vet"}, &out, &out))
 	assert.Contains(t, out.String(), "usage")
