--- a/cmd/search/main.go
+++ b/cmd/search/main.go
@@ -1,5 +1,6 @@
-// Command search looks for days on which a controller breaks a rule: a systematic walk
-// over pairs of a protocol's step and a trouble, random days, and single scripts again.
+// Command search looks for simulated days on which a controller breaks a rule. It walks
+// over all combinations of a protocol step and a fault, plays random days, or replays a
+// script.
 package main
 
 import (
--- a/cmd/search/root.go
+++ b/cmd/search/root.go
@@ -15,13 +15,12 @@
 	"roadcleat/internal/fake"
 )
 
-// Exit statuses: nothing wrong, a rule broken, bad usage, interrupted with nothing wrong
-// so far.
+// Exit statuses.
 const (
 	exitClean       = 0
-	exitBroken      = 1
+	exitBroken      = 1 // a rule was broken
 	exitUsage       = 2
-	exitInterrupted = 130
+	exitInterrupted = 130 // no rule was broken so far
 )
 
 var (
@@ -49,13 +48,27 @@
 }
 
 func newRoot() *cobra.Command {
+	root := &cobra.Command{
+		Use:           "search",
+		Short:         "Looks for days on which a rule is broken",
+		SilenceUsage:  true,
+		SilenceErrors: true,
+		Args:          cobra.NoArgs,
+		RunE:          func(*cobra.Command, []string) error { return errors.New("walk, random or replay?") },
+	}
 	s := &search{play: func(s fake.Script) fake.Verdict { return s.Play(nil) }}
-	root := &cobra.Command{Use: "search", Short: "Looks for days on which a rule is broken", SilenceUsage: true, SilenceErrors: true,
-		Args: cobra.NoArgs, RunE: func(*cobra.Command, []string) error { return errors.New("walk, random or replay?") }}
+	root.AddCommand(newWalk(s), newRandom(s), newReplay())
+	return root
+}
+
+func newWalk(s *search) *cobra.Command {
 	var occurrences int
 	var only []string
-	walk := &cobra.Command{Use: "walk", Short: "Play every trouble at every phase of every step, with and without the owner's end",
-		Args: cobra.NoArgs, RunE: func(cmd *cobra.Command, _ []string) error {
+	walk := &cobra.Command{
+		Use:   "walk",
+		Short: "Play every trouble at every phase of every step, with and without the owner's end",
+		Args:  cobra.NoArgs,
+		RunE: func(cmd *cobra.Command, _ []string) error {
 			if occurrences < 1 {
 				return errors.New("--occurrences: at least 1")
 			}
@@ -63,102 +76,142 @@
 			if err != nil {
 				return err
 			}
-			return s.run(cmd, fake.WalkSize(occurrences)/len(fake.Steps)*len(steps), walkDays(steps, occurrences))
-		}}
+			total := fake.WalkSize(occurrences) / len(fake.Steps) * len(steps)
+			return s.run(cmd, total, walkDays(steps, occurrences))
+		},
+	}
 	walk.Flags().StringSliceVar(&only, "step", nil, "only these steps")
 	walk.Flags().IntVar(&occurrences, "occurrences", 1, "of each step, spread over the day")
+	s.addFlags(walk)
+	return walk
+}
+
+func newRandom(s *search) *cobra.Command {
 	var first uint64
 	var days int
-	random := &cobra.Command{Use: "random", Short: "Play random days", Args: cobra.NoArgs,
+	random := &cobra.Command{
+		Use:   "random",
+		Short: "Play random days",
+		Args:  cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			if days < 1 {
 				return errors.New("--days: at least 1")
 			}
 			return s.run(cmd, days, randomDays(first, days))
-		}}
+		},
+	}
 	random.Flags().Uint64Var(&first, "seed", 1, "the first day's seed")
 	random.Flags().IntVar(&days, "days", 1000, "how many")
-	for _, c := range []*cobra.Command{walk, random} {
-		c.Flags().IntVar(&s.workers, "workers", 2, "days played at a time")
-		c.Flags().IntVar(&s.shrinkDays, "shrink", 300, "days played at most to shorten a script that breaks a rule")
-		c.Flags().IntVar(&s.shrinkMost, "shrink-most", 3, "scripts that are shortened, of each rule")
-		c.Flags().BoolVar(&s.first, "first", false, "stop at the first day that breaks a rule")
-		c.Flags().StringVar(&s.dir, "out", os.TempDir(), "where scripts that break a rule are written")
-		c.Flags().BoolVarP(&s.verbose, "verbose", "v", false, "list all that was not covered")
-	}
+	s.addFlags(random)
+	return random
+}
+
+// addFlags adds the flags of commands that play many days.
+func (s *search) addFlags(c *cobra.Command) {
+	c.Flags().IntVar(&s.workers, "workers", 2, "days played at a time")
+	c.Flags().IntVar(&s.shrinkDays, "shrink", 300, "days played at most to shorten a script that breaks a rule")
+	c.Flags().IntVar(&s.shrinkMost, "shrink-most", 3, "scripts that are shortened, of each rule")
+	c.Flags().BoolVar(&s.first, "first", false, "stop at the first day that breaks a rule")
+	c.Flags().StringVar(&s.dir, "out", os.TempDir(), "where scripts that break a rule are written")
+	c.Flags().BoolVarP(&s.verbose, "verbose", "v", false, "list all that was not covered")
+}
+
+func newReplay() *cobra.Command {
 	var log bool
-	replay := &cobra.Command{Use: "replay FILE", Short: "Play a script again", Args: cobra.ExactArgs(1),
-		RunE: func(cmd *cobra.Command, args []string) error { return replay(cmd, args[0], log) }}
-	replay.Flags().BoolVar(&log, "log", false, "print all that happens")
-	root.AddCommand(walk, random, replay)
-	return root
+	command := &cobra.Command{
+		Use:   "replay FILE",
+		Short: "Play a script again",
+		Args:  cobra.ExactArgs(1),
+		RunE:  func(cmd *cobra.Command, args []string) error { return replay(cmd, args[0], log) },
+	}
+	command.Flags().BoolVar(&log, "log", false, "print all that happens")
+	return command
 }
 
-// stepsNamed are the steps named, all of them if none is.
+// stepsNamed are the steps named, or all steps if none is.
 func stepsNamed(names []string) ([]fake.Step, error) {
 	if len(names) == 0 {
 		return fake.Steps, nil
 	}
 	var steps []fake.Step
-	for _, n := range names {
-		if !slices.Contains(fake.Steps, fake.Step(n)) {
-			return nil, fmt.Errorf("--step: no step is called %q", n)
+	for _, name := range names {
+		if !slices.Contains(fake.Steps, fake.Step(name)) {
+			return nil, fmt.Errorf("--step: no step is called %q", name)
 		}
-		steps = append(steps, fake.Step(n))
+		steps = append(steps, fake.Step(name))
 	}
 	return steps, nil
 }
 
+// walkDays are the days of the walk over some steps, grouped by step.
 func walkDays(steps []fake.Step, occurrences int) iter.Seq[day] {
 	return func(yield func(day) bool) {
-		for p := range fake.Walk(occurrences) {
-			if slices.Contains(steps, p.Step) && !yield(day{p.String(), string(p.Step), p.Script}) {
+		for pair := range fake.Walk(occurrences) {
+			if !slices.Contains(steps, pair.Step) {
+				continue
+			}
+			if !yield(day{name: pair.String(), group: string(pair.Step), script: pair.Script}) {
 				return
 			}
 		}
 	}
 }
 
+// randomDays are the random days of consecutive seeds.
 func randomDays(first uint64, days int) iter.Seq[day] {
 	return func(yield func(day) bool) {
 		for i := range uint64(days) {
 			seed := first + i
-			if !yield(day{fmt.Sprintf("seed %d", seed), "random days", func() fake.Script { return fake.RandomDay(seed) }}) {
+			d := day{
+				name:   fmt.Sprintf("seed %d", seed),
+				group:  "random days",
+				script: func() fake.Script { return fake.RandomDay(seed) },
+			}
+			if !yield(d) {
 				return
 			}
 		}
 	}
 }
 
+// replay plays the script in a file and prints its verdict.
 func replay(cmd *cobra.Command, path string, log bool) error {
-	f, err := os.Open(path)
+	s, err := readScript(path)
 	if err != nil {
 		return err
 	}
-	s, err := fake.ReadScript(f)
-	_ = f.Close() // it was only read
-	if err != nil {
-		return fmt.Errorf("%s: %w", path, err)
-	}
 	out := cmd.OutOrStdout()
-	var to func(string, ...any)
+	var logf func(string, ...any)
 	if log {
-		to = func(format string, args ...any) { fmt.Fprintf(out, format+"\n", args...) }
+		logf = func(format string, args ...any) { fmt.Fprintf(out, format+"\n", args...) }
 	}
-	v := s.Play(to)
+	v := s.Play(logf)
 	for _, b := range v.Broken {
 		fmt.Fprintln(out, "broken:", b)
 	}
-	struck := 0
+	injected := 0
 	for _, ok := range v.Injected {
 		if ok {
-			struck++
+			injected++
 		}
 	}
 	fmt.Fprintf(out, "%d of %d troubles struck; %d starts, %d of them after a confirmed cancellation; ended at %v\n",
-		struck, len(v.Injected), v.Starts, v.AfterCancel, v.Ended.Round(time.Millisecond))
+		injected, len(v.Injected), v.Starts, v.AfterCancel, v.Ended.Round(time.Millisecond))
 	if len(v.Broken) > 0 {
 		return errBroken
 	}
 	return nil
 }
+
+func readScript(path string) (fake.Script, error) {
+	f, err := os.Open(path)
+	if err != nil {
+		return fake.Script{}, err
+	}
+	defer f.Close() // it is only read
+	s, err := fake.ReadScript(f)
+	if err != nil {
+		return s, fmt.Errorf("%s: %w", path, err)
+	}
+	return s, nil
+}
--- a/cmd/search/search.go
+++ b/cmd/search/search.go
@@ -2,6 +2,7 @@
 
 import (
 	"context"
+	"errors"
 	"fmt"
 	"io"
 	"iter"
@@ -19,6 +20,9 @@
 	"roadcleat/internal/fake"
 )
 
+// barInterval is how often the progress bar is drawn at most.
+const barInterval = 200 * time.Millisecond
+
 // search plays many days.
 type search struct {
 	play                            func(fake.Script) fake.Verdict
@@ -27,7 +31,7 @@
 	verbose, first                  bool
 }
 
-// day is a script by its name, and the group it is counted with.
+// day is a script with its name and the group that it is counted with.
 type day struct {
 	name, group string
 	script      func() fake.Script
@@ -38,14 +42,14 @@
 	verdict fake.Verdict
 }
 
-// count is how many days of a group were played, and on how many all troubles struck.
+// count is how many days of a group were played, and on how many all faults were injected.
 type count struct{ played, covered int }
 
-// tally is what came of a search so far.
+// tally sums up the results so far.
 type tally struct {
 	counts map[string]*count
-	order  []string // groups
-	missed []string // days on which not all troubles struck
+	groups []string
+	missed []string // days on which not all faults were injected
 	broken []result
 	starts int
 }
@@ -55,7 +59,7 @@
 	if c == nil {
 		c = &count{}
 		t.counts[r.day.group] = c
-		t.order = append(t.order, r.day.group)
+		t.groups = append(t.groups, r.day.group)
 	}
 	c.played++
 	t.starts += r.verdict.Starts
@@ -69,24 +73,39 @@
 	}
 }
 
-// run plays the days and says what came of them.
+// run plays the days and prints the results: a broken rule at once, the shortened scripts
+// and the counts at the end.
 func (s *search) run(cmd *cobra.Command, total int, days iter.Seq[day]) error {
 	if s.workers < 1 {
-		return fmt.Errorf("--workers: at least 1")
+		return errors.New("--workers: at least 1")
+	}
+	ctx, out := cmd.Context(), cmd.OutOrStdout()
+	began := time.Now()
+	t := s.playAll(ctx, cmd.ErrOrStderr(), total, days)
+	if err := s.reportBroken(ctx, out, t); err != nil {
+		return err
+	}
+	t.print(out, total, time.Since(began), s.verbose)
+	switch {
+	case len(t.broken) > 0:
+		return errBroken
+	case ctx.Err() != nil:
+		return errInterrupted
 	}
-	ctx, out, errs := cmd.Context(), cmd.OutOrStdout(), cmd.ErrOrStderr()
-	// What is broken is told at once, and shortened and explained at the end.
-	bar := progressbar.NewOptions(total, progressbar.OptionSetWriter(errs), progressbar.OptionSetDescription("0 broken"),
-		progressbar.OptionShowCount(), progressbar.OptionShowIts(), progressbar.OptionSetItsString("days"),
-		progressbar.OptionThrottle(200*time.Millisecond), progressbar.OptionClearOnFinish())
-	t, began := tally{counts: map[string]*count{}}, time.Now()
-	playing, enough := context.WithCancel(ctx)
-	defer enough()
-	for r := range s.results(playing, days) {
+	return nil
+}
+
+// playAll plays the days and shows the progress.
+func (s *search) playAll(ctx context.Context, errs io.Writer, total int, days iter.Seq[day]) *tally {
+	ctx, cancel := context.WithCancel(ctx)
+	defer cancel()
+	bar := newBar(errs, total)
+	t := &tally{counts: map[string]*count{}}
+	for r := range s.results(ctx, days) {
 		t.add(r)
 		if len(r.verdict.Broken) > 0 {
 			if s.first {
-				enough()
+				cancel()
 			}
 			_ = bar.Clear()
 			fmt.Fprintf(errs, "%s: %s\n", r.day.name, r.verdict.Broken[0])
@@ -95,17 +114,18 @@
 		_ = bar.Add(1) // a bar that can't be drawn is no reason to stop
 	}
 	_ = bar.Clear()
-	if err := s.tell(ctx, out, &t); err != nil {
-		return err
-	}
-	t.print(out, total, time.Since(began), s.verbose)
-	switch {
-	case len(t.broken) > 0:
-		return errBroken
-	case ctx.Err() != nil:
-		return errInterrupted
-	}
-	return nil
+	return t
+}
+
+func newBar(w io.Writer, total int) *progressbar.ProgressBar {
+	return progressbar.NewOptions(total,
+		progressbar.OptionSetWriter(w),
+		progressbar.OptionSetDescription("0 broken"),
+		progressbar.OptionShowCount(),
+		progressbar.OptionShowIts(),
+		progressbar.OptionSetItsString("days"),
+		progressbar.OptionThrottle(barInterval),
+		progressbar.OptionClearOnFinish())
 }
 
 // results plays the days, several at a time, until all are played or ctx is done.
@@ -136,20 +156,17 @@
 	return done
 }
 
-// tell shortens what broke a rule, the first few of each, and says how to replay it.
-func (s *search) tell(ctx context.Context, out io.Writer, t *tally) error {
+// reportBroken prints the days that broke a rule, writes their scripts, the first few of
+// each rule shortened, to files, and prints how to replay them.
+func (s *search) reportBroken(ctx context.Context, out io.Writer, t *tally) error {
 	sort.Slice(t.broken, func(i, j int) bool { return t.broken[i].day.name < t.broken[j].day.name })
-	told := map[string]int{}
+	reported := map[string]int{} // by rule
 	for _, r := range t.broken {
 		rule, script := r.verdict.Rule(), r.day.script()
 		fmt.Fprintf(out, "%s: %s\n", r.day.name, strings.Join(r.verdict.Broken, "; "))
-		if told[rule]++; told[rule] <= s.shrinkMost {
-			script, _ = script.Shrink(s.shrinkDays, func(x fake.Script) fake.Verdict {
-				if ctx.Err() != nil {
-					return fake.Verdict{} // breaks nothing, so this ends soon
-				}
-				return s.play(x)
-			})
+		reported[rule]++
+		if reported[rule] <= s.shrinkMost {
+			script = s.shrink(ctx, script)
 			fmt.Fprintf(out, "  %s\n", script)
 		}
 		path := filepath.Join(s.dir, "search-"+rule+"-"+fileName(r.day.name)+".json")
@@ -161,7 +178,18 @@
 	return nil
 }
 
-// fileName keeps letters and digits of a name.
+// shrink shortens a script that breaks a rule; as far as it has come when ctx is done.
+func (s *search) shrink(ctx context.Context, script fake.Script) fake.Script {
+	short, _ := script.Shrink(s.shrinkDays, func(x fake.Script) fake.Verdict {
+		if ctx.Err() != nil {
+			return fake.Verdict{} // no candidate breaks the rule any more, so shrinking ends
+		}
+		return s.play(x)
+	})
+	return short
+}
+
+// fileName keeps the lower-case letters and digits of a name.
 func fileName(name string) string {
 	return strings.Trim(strings.Map(func(r rune) rune {
 		if r >= 'a' && r <= 'z' || r >= '0' && r <= '9' {
@@ -171,14 +199,15 @@
 	}, name), "-")
 }
 
-// print says what was covered and what was not.
+// print prints what was covered and what was not.
 func (t *tally) print(out io.Writer, total int, took time.Duration, verbose bool) {
-	sort.Strings(t.order)
+	sort.Strings(t.groups)
 	sort.Strings(t.missed)
 	var all count
-	for _, g := range t.order {
+	for _, g := range t.groups {
 		c := t.counts[g]
-		all.played, all.covered = all.played+c.played, all.covered+c.covered
+		all.played += c.played
+		all.covered += c.covered
 		fmt.Fprintf(out, "%-12s %6d played, %6d covered, %5d not covered\n", g, c.played, c.covered, c.played-c.covered)
 	}
 	if verbose {
@@ -186,6 +215,7 @@
 			fmt.Fprintln(out, "not covered:", name)
 		}
 	}
-	fmt.Fprintf(out, "%d of %d days played in %v: %d covered, %d not covered (a trouble's moment did not come), %d broke a rule, %d tasks started\n",
+	fmt.Fprintf(out, "%d of %d days played in %v: %d covered, %d not covered (a trouble's moment did not come), "+
+		"%d broke a rule, %d tasks started\n",
 		all.played, total, took.Round(time.Second), all.covered, all.played-all.covered, len(t.broken), t.starts)
 }
--- a/cmd/search/search_test.go
+++ b/cmd/search/search_test.go
@@ -57,7 +57,7 @@
 
 func TestABrokenRulePrintsTheShortestScriptAndHowToReplayIt(t *testing.T) {
 	s := &search{workers: 2, shrinkDays: 500, shrinkMost: 1, dir: t.TempDir(), verbose: true}
-	// Stands for a fault that only freezes bring about.
+	// Stands for a bug that only a freeze at this moment triggers.
 	s.play = func(x fake.Script) (v fake.Verdict) {
 		v.Injected = []bool{true, len(x.Steps) < 2 || x.Steps[1].Fault != "cancel"}
 		for _, step := range x.Steps {
