--- a/internal/fake/cloud.go
+++ b/internal/fake/cloud.go
@@ -2,7 +2,6 @@
 
 import (
 	"fmt"
-	"slices"
 	"sort"
 	"time"
 
@@ -195,24 +194,3 @@
 	}
 	return host
 }
-
-// Alive lists the machines that have not ended, by name.
-func (w *World) Alive() []*Worker {
-	var alive []*Worker
-	for _, worker := range w.Workers {
-		if !worker.gone {
-			alive = append(alive, worker)
-		}
-	}
-	sort.Slice(alive, func(i, j int) bool { return alive[i].name < alive[j].name })
-	return alive
-}
-
-// kind is the machine's type.
-func (k *Worker) kind() model.MachineType {
-	i := slices.IndexFunc(k.w.Cloud.Types, func(t model.MachineType) bool { return t.Name == k.typ })
-	if i < 0 {
-		return model.MachineType{Name: k.typ}
-	}
-	return k.w.Cloud.Types[i]
-}
--- a/internal/fake/faults.go
+++ b/internal/fake/faults.go
@@ -34,6 +34,7 @@
 	inject injectFunc
 }
 
+// Units of the table below.
 const (
 	ms  = time.Millisecond
 	sec = time.Second
--- a/internal/fake/image_cache.go
+++ b/internal/fake/image_cache.go
@@ -5,7 +5,6 @@
 	"time"
 
 	"roadcleat/internal/core"
-	"roadcleat/internal/model"
 )
 
 const (
@@ -13,8 +12,6 @@
 	defaultFetchRate = 0.5
 	// fetchedTolerance is how many GB may be missing from an image that counts as fetched.
 	fetchedTolerance = 1e-6
-	// amountTolerance is by how much a sum of resources may be above a limit.
-	amountTolerance = 1e-6
 )
 
 // imageCache holds a machine's images: the most recently used that its cache has room for,
@@ -48,34 +45,6 @@
 // current says whether the attempt still waits.
 func (x waiter) current() bool { return x.t.epoch == x.epoch }
 
-// used is what the machine's tasks need, except for one attempt.
-func (k *Worker) used(except *running) model.Resources {
-	var sum model.Resources
-	for _, t := range k.tasks {
-		if job := k.w.Jobs[t.id.Job]; t != except && t.state != core.TaskExited && job != nil {
-			sum = plus(sum, job.Spec.Need)
-		}
-	}
-	return sum
-}
-
-// hasRoom says whether the machine has room for a need beside its tasks, except for one
-// attempt.
-func (k *Worker) hasRoom(need model.Resources, except *running) bool {
-	return within(plus(k.used(except), need), k.kind().Capacity)
-}
-
-func plus(a, b model.Resources) model.Resources {
-	return model.Resources{Cores: a.Cores + b.Cores, GPUs: a.GPUs + b.GPUs, MemoryGB: a.MemoryGB + b.MemoryGB}
-}
-
-// within says whether an amount is within a total, up to rounding.
-func within(a, total model.Resources) bool {
-	return a.Cores <= total.Cores+amountTolerance &&
-		a.GPUs <= total.GPUs+amountTolerance &&
-		a.MemoryGB <= total.MemoryGB+amountTolerance
-}
-
 // fetch runs start when the machine has the task's image.
 func (k *Worker) fetch(t *running, start func()) {
 	spec := k.w.Jobs[t.id.Job].Spec
--- a/internal/fake/user_faults.go
+++ b/internal/fake/user_faults.go
@@ -295,3 +295,12 @@
 	sort.Strings(names)
 	return names
 }
+
+// taskFinished has the job's user cancel it half of the time as its last task completes,
+// while that fault lasts.
+func (w *World) taskFinished(job *Job) {
+	last := len(job.Finished) == job.Spec.Tasks
+	if w.Now < w.cancelFinishingUntil && last && !job.CancelRequested && w.Rng.IntN(2) == 0 {
+		w.Cancel(job)
+	}
+}
--- a/internal/fake/worker.go
+++ b/internal/fake/worker.go
@@ -164,3 +164,15 @@
 	status := k.status()
 	reply(core.WorkerResult{Outcome: core.OutcomeOK, Status: &status})
 }
+
+// Alive lists the machines that have not ended, by name.
+func (w *World) Alive() []*Worker {
+	var alive []*Worker
+	for _, worker := range w.Workers {
+		if !worker.gone {
+			alive = append(alive, worker)
+		}
+	}
+	sort.Slice(alive, func(i, j int) bool { return alive[i].name < alive[j].name })
+	return alive
+}
