--- a/internal/core/config.go
+++ b/internal/core/config.go
@@ -56,38 +56,47 @@
 	TakeoverDelay     time.Duration // before another zone's free shard is claimed
 }
 
-// leaseTTLShare is the part of a worker's lease that a controller's may last at most.
-// When a controller stands still or is cut off, its lease must run out, its part be
-// claimed and its workers find the new owner before theirs have run out too; they
-// first wait for an answer, then go through the others one by one. With 8 s of 14
-// most workers' leases were lost to each controller that stood still.
+// leaseTTLShare is the share of a worker's lease that a controller's may last at most. When a
+// controller stalls or is cut off, its lease must expire, its shard be claimed and its workers
+// find the new owner before their own leases expire: they first wait for an answer, then try
+// the other controllers one by one.
 const leaseTTLShare = 0.28
 
-// minLeaseTTL is what it lasts in any case: a renewal must be able to go wrong once.
+// minLeaseTTL is what a controller's lease lasts in any case: a renewal must be able to fail
+// once.
 const minLeaseTTL = 3 * time.Second
 
-// Reports come a quarter late at most. One that is lost is given up after 4 s; the next
-// goes to another controller a second later, which names the owner.
+// lostHeartbeatTime is what a lost heartbeat costs: it is given up after 4 s, and the next goes
+// to another controller a second later, which names the owner.
 const lostHeartbeatTime = 7 * time.Second
 
-// Effective is what the operators' settings come to with these workers.
-func (k Tuning) Effective(report, lease time.Duration) Tuning {
-	k.LeaseTTL = min(k.LeaseTTL, max(time.Duration(leaseTTLShare*float64(lease)), minLeaseTTL))
-	k.ReturnSilentAfter = max(k.ReturnSilentAfter, report*5/4+lostHeartbeatTime)
-	return k
+// What workers need to find a new owner, see FailoverTime.
+const (
+	unansweredTime = 5500 * time.Millisecond // a heartbeat without answer, and another try
+	claimTime      = time.Second             // from the free shard to its new owner's first answer
+)
+
+// latestHeartbeat is the longest time between two heartbeats: they come a quarter late at most.
+func latestHeartbeat(interval time.Duration) time.Duration { return interval * 5 / 4 }
+
+// Effective is what the operators' settings come to with these workers' times.
+func (t Tuning) Effective(heartbeat, lease time.Duration) Tuning {
+	t.LeaseTTL = min(t.LeaseTTL, max(time.Duration(leaseTTLShare*float64(lease)), minLeaseTTL))
+	t.ReturnSilentAfter = max(t.ReturnSilentAfter, latestHeartbeat(heartbeat)+lostHeartbeatTime)
+	return t
 }
 
-// FailoverTime is how long workers are without an answer at least when their controller
-// ends just before a late report of theirs: they must give that report up and ask another,
-// and one must have taken the part, once the controller's lease has run out. Whoever asks
-// before that goes round all controllers once more, the ended one among them, which takes a
-// second each and 5 s. A worker's lease must be longer. The whole grace is waited for if
-// the part's home is heard.
-func (k Tuning) FailoverTime(report, lease time.Duration, homeHeard bool) time.Duration {
-	k = k.Effective(report, lease)
-	grace := k.TakeoverDelay
+// FailoverTime is how long workers are without an answer at least when their controller ends
+// just before a late heartbeat of theirs: they must give that one up and try another
+// controller, and one must have claimed the shard once the controller's lease has expired. A
+// worker that asks before that tries all controllers once more, the ended one among them, which
+// takes a second each and 5 s. A worker's lease must be longer. The whole takeover delay is
+// waited for only if the shard's home controller is heard.
+func (t Tuning) FailoverTime(heartbeat, lease time.Duration, homeHeard bool) time.Duration {
+	t = t.Effective(heartbeat, lease)
+	delay := t.TakeoverDelay
 	if !homeHeard {
-		grace = min(grace, leadership.NoHomeDelay)
+		delay = min(delay, leadership.NoHomeDelay)
 	}
-	return report*5/4 + max(5500*time.Millisecond, k.LeaseTTL+grace+time.Second)
+	return latestHeartbeat(heartbeat) + max(unansweredTime, t.LeaseTTL+delay+claimTime)
 }
--- a/internal/core/recordsize_test.go
+++ b/internal/core/recordsize_test.go
@@ -12,8 +12,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// coreWithValueLimit is a core of one controller whose store keeps values of so many bytes, and a
-// job with a slice in its only part.
+// coreWithValueLimit is a core of one controller whose state service keeps values of so many
+// bytes, and a job with an assignment in its only shard.
 func coreWithValueLimit(bytes, tasks int) (*Core, *Assignment) {
 	c := New(Config{Label: "n", Zones: []string{"a", "b", "c"}, MaxValueBytes: bytes})
 	job := c.newJob("job-1", model.JobSpec{Class: "work", Team: "red", Tasks: tasks, Need: model.Resources{Cores: 2}}, 7)
