--- a/internal/fake/clock.go
+++ b/internal/fake/clock.go
@@ -47,8 +47,22 @@
 
 // every runs f now and then at each interval.
 func (w *World) every(interval time.Duration, f func()) {
-	f()
-	w.After(interval, func() { w.every(interval, f) })
+	w.repeatWhile(interval, func() bool {
+		f()
+		return true
+	})
+}
+
+// repeatWhile runs f now and then at each interval, until f returns false. One closure serves
+// all the runs: a fleet's machines run several of them a second.
+func (w *World) repeatWhile(interval time.Duration, f func() bool) {
+	var run func()
+	run = func() {
+		if f() {
+			w.After(interval, run)
+		}
+	}
+	run()
 }
 
 // Run advances the simulated time by d.
--- a/internal/fake/node.go
+++ b/internal/fake/node.go
@@ -57,11 +57,13 @@
 
 // keepAdvancing advances the core's timers regularly as long as a process lives.
 func (n *Node) keepAdvancing(life int) {
-	if !n.lives(life) {
-		return
-	}
-	n.advance()
-	n.w.After(advanceInterval, func() { n.keepAdvancing(life) })
+	n.w.repeatWhile(advanceInterval, func() bool {
+		if !n.lives(life) {
+			return false
+		}
+		n.advance()
+		return true
+	})
 }
 
 // lives says whether a process is the one that runs now.
--- a/internal/fake/worker.go
+++ b/internal/fake/worker.go
@@ -58,20 +58,20 @@
 	k.leaseFrom = k.w.Now
 	k.node = k.w.Rng.IntN(len(k.w.Nodes))
 	k.dirty = true
-	k.loop()
+	k.w.repeatWhile(workerInterval, k.work)
 }
 
-// loop does the worker's periodic work until the machine is gone.
-func (k *Worker) loop() {
+// work does the worker's periodic work and says whether the machine still exists.
+func (k *Worker) work() bool {
 	if k.gone {
-		return
+		return false
 	}
 	// The lease runs out on a hanging machine too.
 	k.expire()
 	if k.w.Now >= k.hangUntil {
 		k.maybeHeartbeat()
 	}
-	k.w.After(workerInterval, k.loop)
+	return true
 }
 
 // Die ends the machine and all tasks on it.
