--- a/internal/core/images.go
+++ b/internal/core/images.go
@@ -1,5 +1,7 @@
 package core
 
+import "slices"
+
 // Image fetches and the machines' image caches, as far as an owner can tell: a worker reports
 // what its tasks wait for, not what it has cached.
 
@@ -42,21 +44,23 @@
 // evictImages drops what the machine's cache no longer holds: it keeps the most recently used
 // images only, and always the one in use.
 func (c *Core) evictImages(host *Host, inUse int) {
-	if host.typeIndex < 0 {
+	if host.typeIndex < 0 || len(host.images) <= 1 {
 		return
 	}
-	for {
-		total, oldest := 0.0, -1
-		for _, image := range sorted(host.images) { // of images used at the same moment the lowest goes
+	images := sorted(host.images) // of images used at the same moment the lowest goes
+	for len(images) > 1 {
+		total, oldest := 0.0, 0
+		for i, image := range images {
 			total += c.imageGB[image]
-			if oldest < 0 || host.images[image] < host.images[oldest] {
-				oldest = image
+			if host.images[image] < host.images[images[oldest]] {
+				oldest = i
 			}
 		}
-		if total <= c.types[host.typeIndex].CacheGB || len(host.images) <= 1 || oldest == inUse {
+		if total <= c.types[host.typeIndex].CacheGB || images[oldest] == inUse {
 			return
 		}
-		delete(host.images, oldest)
+		delete(host.images, images[oldest])
+		images = slices.Delete(images, oldest, oldest+1)
 	}
 }
 
