--- a/internal/core/admission.go
+++ b/internal/core/admission.go
@@ -252,9 +252,7 @@
 // lookUpSubmission answers with what the state service holds of a job that may be in it.
 func (c *Core) lookUpSubmission(waiting *submission, absent string) {
 	delete(c.admission.byJob, waiting.spec.ID)
-	for _, req := range waiting.requests {
-		c.lookUpJob(req, waiting.spec.ID, func() { c.rejectBusy(req, absent) })
-	}
+	c.lookUpFor(waiting.requests, waiting.spec.ID, absent)
 	c.answerLateRequests(waiting)
 }
 
@@ -262,12 +260,18 @@
 // way. It may have been carried out long before its answer came; the job may have been
 // cancelled or completed since, and its user told so elsewhere (rule went_back).
 func (c *Core) answerLateRequests(waiting *submission) {
-	for _, req := range waiting.lateRequests {
-		c.lookUpJob(req, waiting.spec.ID, func() { c.rejectBusy(req, "changed meanwhile") })
-	}
+	c.lookUpFor(waiting.lateRequests, waiting.spec.ID, "changed meanwhile")
 	waiting.lateRequests = nil
 }
 
+// lookUpFor answers requests with the job's status if the state service has it, else has their
+// users try again for the reason given.
+func (c *Core) lookUpFor(requests []uint64, id, absent string) {
+	for _, req := range requests {
+		c.lookUpJob(req, id, func() { c.rejectBusy(req, absent) })
+	}
+}
+
 // requeueSubmission puts a submission back whose transaction was not carried out.
 func (c *Core) requeueSubmission(waiting *submission) {
 	waiting.sent = false
--- a/internal/core/grants.go
+++ b/internal/core/grants.go
@@ -139,9 +139,7 @@
 	}
 	quota.noteReduction(shard.name, next[shard.name])
 	pending := newPendingTxn(shard)
-	pending.quotas[quota] = next
-	pending.addCondition(quota.key(), quota.revision)
-	pending.put(quota.key(), next.Encode())
+	pending.putGrants(quota, next)
 	c.sendTxn(pending)
 	return true
 }
--- a/internal/core/recording.go
+++ b/internal/core/recording.go
@@ -158,7 +158,5 @@
 	if !grows {
 		return
 	}
-	pending.quotas[quota] = grants
-	pending.addCondition(quota.key(), quota.revision)
-	pending.put(quota.key(), grants.Encode())
+	pending.putGrants(quota, grants)
 }
--- a/internal/core/transactions.go
+++ b/internal/core/transactions.go
@@ -41,6 +41,15 @@
 	p.txn.Mutations = append(p.txn.Mutations, Mutation{Key: key, Value: value})
 }
 
+// putGrants writes a team's grants, on condition that nobody has changed them since they were
+// read: two owners could take the same room otherwise, or keep what they have released (rule
+// quota).
+func (p *pendingTxn) putGrants(quota *TeamQuota, grants records.Grants) {
+	p.quotas[quota] = grants
+	p.addCondition(quota.key(), quota.revision)
+	p.put(quota.key(), grants.Encode())
+}
+
 func (p *pendingTxn) delete(key string) {
 	p.txn.Mutations = append(p.txn.Mutations, Mutation{Key: key})
 }
