--- a/cmd/codecheck/check.go
+++ b/cmd/codecheck/check.go
@@ -7,6 +7,7 @@
 	"go/parser"
 	"go/token"
 	"io/fs"
+	"maps"
 	"os"
 	"path"
 	"path/filepath"
@@ -47,7 +48,7 @@
 		found = append(found, violations...)
 		return err
 	})
-	for _, pkg := range sortedKeys(r.Imports) {
+	for _, pkg := range slices.Sorted(maps.Keys(r.Imports)) {
 		if !seen[pkg] {
 			found = append(found, violation{rulesFile, 1, "no package " + pkg})
 		}
@@ -55,15 +56,6 @@
 	return found, err
 }
 
-func sortedKeys(m map[string][]string) []string {
-	keys := make([]string, 0, len(m))
-	for key := range m {
-		keys = append(keys, key)
-	}
-	slices.Sort(keys)
-	return keys
-}
-
 // checkFile checks one file; name is where it is, file how rules call it.
 func (r *rules) checkFile(name, file string) ([]violation, error) {
 	source, err := os.ReadFile(name)
--- a/internal/fake/cloud.go
+++ b/internal/fake/cloud.go
@@ -36,15 +36,7 @@
 
 func newCloud(w *World) *Cloud {
 	c := &Cloud{w: w, granted: map[string][]string{}}
-	small := model.MachineType{
-		Name: "small", Capacity: model.Resources{Cores: 4, MemoryGB: 16}, CacheGB: 40,
-		FetchGBPerSecond: 0.5, Price: 0.4, SpotPrice: 0.15, BootSeconds: 8,
-	}
-	large := model.MachineType{
-		Name: "large", Capacity: model.Resources{Cores: 16, MemoryGB: 64}, CacheGB: 40,
-		FetchGBPerSecond: 0.5, Price: 1.2, SpotPrice: 0.4, BootSeconds: 10,
-	}
-	c.offer([]model.MachineType{small, large})
+	c.offer(usualTypes(false))
 	return c
 }
 
--- a/internal/fake/job.go
+++ b/internal/fake/job.go
@@ -1,7 +1,8 @@
 package fake
 
 import (
-	"sort"
+	"maps"
+	"slices"
 	"time"
 
 	"roadcleat/internal/model"
@@ -41,15 +42,8 @@
 
 func isFinal(s model.JobState) bool { return s == model.JobDone || s == model.JobCancelled }
 
-// sortedJobs are the jobs' IDs in order.
-func sortedJobs(jobs map[string]*Job) []string {
-	var ids []string
-	for id := range jobs {
-		ids = append(ids, id)
-	}
-	sort.Strings(ids)
-	return ids
-}
+// sortedKeys are a map's keys in order, so that every run of a seed is the same.
+func sortedKeys[V any](m map[string]V) []string { return slices.Sorted(maps.Keys(m)) }
 
 // On counts a job's running tasks by machine.
 func (w *World) On(id string) map[*Worker]int {
--- a/internal/fake/referee.go
+++ b/internal/fake/referee.go
@@ -181,7 +181,7 @@
 // overdue checks the rules that can be broken while nothing happens.
 func (r *Referee) overdue() {
 	r.checkWaiting()
-	for _, id := range sortedJobs(r.w.Jobs) {
+	for _, id := range sortedKeys(r.w.Jobs) {
 		job := r.w.Jobs[id]
 		if job.Accepted && !job.Over() && r.w.Now > max(r.w.FaultsOverAt, job.Answered)+forgetAfter {
 			r.violation("forgotten", "no question about %s is answered", id)
@@ -316,7 +316,7 @@
 func (r *Referee) Served() {
 	groups := map[string][]*Job{}
 	byClass := map[string][]*Job{}
-	for _, id := range sortedJobs(r.w.Jobs) {
+	for _, id := range sortedKeys(r.w.Jobs) {
 		job := r.w.Jobs[id]
 		if !job.Accepted || job.CancelRequested || job.Spec.Service {
 			continue
--- a/internal/fake/referee_waiting.go
+++ b/internal/fake/referee_waiting.go
@@ -74,7 +74,7 @@
 	if withoutFaults {
 		placed = w.placements()
 	}
-	for _, id := range sortedJobs(w.Jobs) {
+	for _, id := range sortedKeys(w.Jobs) {
 		job := w.Jobs[id]
 		on := placed.tasks[id]
 		missing := job.Spec.Tasks - len(job.Finished) - len(on)
--- a/internal/fake/user_faults.go
+++ b/internal/fake/user_faults.go
@@ -4,7 +4,6 @@
 	"encoding/json"
 	"fmt"
 	"net/http"
-	"sort"
 	"time"
 
 	"roadcleat/internal/core"
@@ -204,7 +203,7 @@
 // acceptedJobs are the accepted jobs that users think unfinished, and those they know to be
 // done.
 func (w *World) acceptedJobs() (unfinished, done []*Job) {
-	for _, id := range sortedJobs(w.Jobs) {
+	for _, id := range sortedKeys(w.Jobs) {
 		switch job := w.Jobs[id]; {
 		case job.Told == model.JobDone:
 			done = append(done, job)
@@ -268,7 +267,7 @@
 // their machines hang for a while.
 func (w *World) CancelNow(most int, hang time.Duration) (jobs []*Job) {
 	machines := map[string]*Worker{}
-	for _, id := range sortedJobs(w.Jobs) {
+	for _, id := range sortedKeys(w.Jobs) {
 		job, on := w.Jobs[id], w.On(id)
 		if len(jobs) == most || len(on) == 0 || !job.Accepted || job.Over() || job.CancelRequested {
 			continue
@@ -279,7 +278,7 @@
 		}
 		w.After(time.Duration(w.Rng.IntN(cancelNowWithin))*time.Millisecond, func() { w.Cancel(job) })
 	}
-	for i, name := range sortedNames(machines) {
+	for i, name := range sortedKeys(machines) {
 		if i < cancelNowHangs && hang > 0 {
 			machines[name].Hang(hang)
 		}
@@ -287,15 +286,6 @@
 	return jobs
 }
 
-func sortedNames(machines map[string]*Worker) []string {
-	var names []string
-	for name := range machines {
-		names = append(names, name)
-	}
-	sort.Strings(names)
-	return names
-}
-
 // taskFinished has the job's user cancel it half of the time as its last task completes,
 // while that fault lasts.
 func (w *World) taskFinished(job *Job) {
--- a/internal/fake/user_requests_test.go
+++ b/internal/fake/user_requests_test.go
@@ -2,8 +2,6 @@
 
 import (
 	"fmt"
-	"maps"
-	"slices"
 	"strings"
 	"testing"
 	"time"
@@ -66,7 +64,7 @@
 					oddMoments[name](w)
 				}
 			}
-			for _, id := range sortedJobs(w.Jobs) {
+			for _, id := range sortedKeys(w.Jobs) {
 				if job := w.Jobs[id]; !job.Bad {
 					ends(t, w, job, 3*time.Minute)
 				} else {
@@ -115,7 +113,7 @@
 				}
 			}
 			require.True(t, injected)
-			for _, id := range sortedJobs(w.Jobs) {
+			for _, id := range sortedKeys(w.Jobs) {
 				if job := w.Jobs[id]; !job.Bad {
 					ends(t, w, job, 5*time.Minute)
 				}
@@ -242,11 +240,6 @@
 	}
 }
 
-// sortedKeys returns the keys of a map in order, so that runs are reproducible.
-func sortedKeys[V any](m map[string]V) []string {
-	return slices.Sorted(maps.Keys(m))
-}
-
 // The referee must accept every answer that the rules allow and report every other one.
 func TestRefereeDetectsWrongAnswersToUsers(t *testing.T) {
 	w := New(1, Settings())
